--- a/packages/forward/pimentofront/Forward.h
+++ b/packages/forward/pimentofront/Forward.h
@@ -1,12 +1,12 @@
-//===- Forward.h - Requests that are passed on as they are ------*- C++ -*-===//
+//===- Forward.h - Requests that are forwarded unchanged --------*- C++ -*-===//
 ///
 /// \file
 /// \defgroup Forward Forward
-/// What an entry decides about requests that it passes on as they are: which
+/// An entry's decisions about requests that it forwards unchanged: to which
 /// service and backend server, when to send once more, when to give up, and
-/// what the caller is told. No I/O: the shell reports what callers, agents and
-/// backend servers did and carries out the commands that the controller
-/// leaves. Use it in front of backend servers that speak HTTP; for calls of
+/// what the caller is answered. No I/O: the node reports what callers, agents
+/// and backend servers did, and executes the commands that the controller
+/// issues. Use it in front of backend servers that speak HTTP; for calls of
 /// this project's own interface there is EntryController.
 ///
 //===----------------------------------------------------------------------===//
@@ -15,7 +15,7 @@
 
 #include "pimentofront/State.h"
 
-// The parts, in the order of their dependencies.
+// In the order of their dependencies.
 // clang-format off
 #include "src/Forward/HttpMessage.h"
 #include "src/Forward/RoutingDocument.h"
--- a/packages/forward/pimentofront/src/Forward/AnswerController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.cpp
@@ -8,7 +8,7 @@
 constexpr int StatusMisdirected = 421;
 constexpr int StatusServerError = 500;
 
-/// \returns where the time until the first event went, for the log.
+/// \returns how the time until the first event was spent, for the log.
 std::string timesOf(const ForwardRequest &request) {
   const auto milliseconds = [&](TimePoint at) {
     return std::to_string((at - request.ArrivedAt).count() / 1000);
@@ -52,7 +52,8 @@
     return HeadVerdict::Take;
   }
   if (traits.Id.empty() || (isSuccess(head.Status) && !traits.Stamped)) {
-    // Not what this server sends: bytes that belong to no request.
+    // The answer lacks the id or the stamp that this server sends, so its bytes
+    // belong to no request.
     Board.Commands.push_back(CancelUpstream{attempt});
     brokeOff(now, *request, /*serverMayHaveEnded=*/false);
     return HeadVerdict::Take;
@@ -61,7 +62,7 @@
   Attempts.noteMayHaveRun(*request);
   if (request->Attempt->Head->Status < StatusServerError)
     return HeadVerdict::Take;
-  // The server ran it and failed; another one may do better.
+  // The server ran the request and failed; another one may succeed.
   Quarantine.onSurvived(*request);
   if (!Attempts.mayRepeat(now, *request) || !Board.Budget.hasRoom())
     return HeadVerdict::Take;
@@ -103,7 +104,7 @@
   if (isStream(*request))
     return onStreamBytes(now, *request, bytes);
   if (request->Answering && request->Route->Kind == Repeatability::Stream)
-    return; // A failure where a stream was to go on.
+    return; // A failure where the stream should have resumed.
   if (request->Answering) {
     Board.Commands.push_back(ReplyPiece{request->Key, std::string(bytes)});
     return;
@@ -149,7 +150,8 @@
   Attempts.note(now, "attempt_broke_off", request);
   const bool checked = serverMayHaveEnded && Quarantine.checkServer(request);
   Attempts.endBroken(now, request);
-  // Whoever can't go on has the final answer at once.
+  // A request that can't be sent again gets its final answer without waiting
+  // for the check.
   if (!checked || !Attempts.mayRepeat(now, request))
     Attempts.tryAgain(now, request);
 }
--- a/packages/forward/pimentofront/src/Forward/AnswerController.h
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.h
@@ -8,26 +8,29 @@
 /// How the answer of a backend server ended.
 enum class UpstreamEnding : std::uint8_t {
   Complete,
-  /// No connection came about: the server never saw the request.
+  /// The connection couldn't be established: the server never received the
+  /// request.
   NotSent,
-  /// The request may have reached the server; the answer isn't whole.
+  /// The request may have reached the server; the answer is incomplete.
   BrokeOff,
-  /// The same, on a new connection that the server ended before it answered
-  /// anything: most likely it has as many as it accepts.
+  /// Like BrokeOff, on a new connection that the server closed before it
+  /// answered anything: most likely it has as many connections as it accepts.
   TurnedAway,
 };
 
-/// What the shell does with an answer whose head has come.
+/// How to continue after the head of an answer.
 enum class HeadVerdict : std::uint8_t {
   Take,
-  /// Belongs to an earlier request on that connection: read on for ours.
+  /// The answer belongs to an earlier request on that connection: skip it and
+  /// read the next one.
   Skip,
 };
 
 /// \class AnswerController
 /// \ingroup Forward
-/// \brief What becomes of the answers of backend servers: passed on, held
-/// until they are whole, or replaced by another server's.
+/// \brief Decides what happens to the answers of backend servers: they are
+/// passed on as they arrive, buffered until complete, or replaced by another
+/// server's.
 class AnswerController {
 public:
   AnswerController(ForwardBoard &board, AttemptController &attempts,
@@ -38,7 +41,7 @@
                      ResponseHead head);
   void onBody(TimePoint now, const AttemptId &attempt, std::string_view bytes);
   void onEnd(TimePoint now, const AttemptId &attempt, UpstreamEnding ending);
-  /// The server's host has gone: the connection will never say so.
+  /// The server's host has gone, so the connection will never report its end.
   void onServerLost(TimePoint now, ForwardRequest &request);
 
 private:
@@ -47,8 +50,8 @@
                      std::string_view bytes);
   void beginAnswer(TimePoint now, ForwardRequest &request);
   void complete(TimePoint now, ForwardRequest &request);
-  /// The answer isn't whole, or isn't one. \p serverMayHaveEnded: the
-  /// connection ended, with whatever was at its other end.
+  /// The answer is incomplete or invalid. \p serverMayHaveEnded: the connection
+  /// ended, so the server's process may have exited.
   void brokeOff(TimePoint now, ForwardRequest &request,
                 bool serverMayHaveEnded);
 
--- a/packages/forward/pimentofront/src/Forward/AttemptController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.cpp
@@ -13,7 +13,7 @@
 constexpr int StatusUnavailable = 503;
 constexpr int StatusGatewayTimeout = 504;
 
-/// \returns a number for all parts but the last, which is a request's own.
+/// \returns a hash of all parts but the last, which is specific to the request.
 std::uint64_t prefixOf(const std::vector<PromptPart> &parts) {
   std::uint64_t prefix = 0;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i)
@@ -23,7 +23,8 @@
   return prefix;
 }
 
-/// \returns what is left of the time in which the first event is on time.
+/// \returns the time left until the route's latency target for the first event;
+/// NoTarget if the route has none.
 Duration firstEventDue(TimePoint now, const ForwardRequest &request) {
   const Duration target = request.Route->LatencyTarget;
   if (target <= Duration::zero())
@@ -31,7 +32,7 @@
   return target - (now - request.ArrivedAt);
 }
 
-/// \returns what decided the end of a request, for the log.
+/// \returns the data behind a request's refusal or failure, for the log.
 std::string inputsOf(TimePoint now, const ForwardRequest &request) {
   if (!request.Route)
     return {};
@@ -43,8 +44,8 @@
          std::to_string(request.Table->revision()) + request.Grounds;
 }
 
-/// \returns the status for a request without an answer. 503 promises that the
-/// request has not run and never will.
+/// \returns the HTTP status for a request without an answer. 503 guarantees
+/// that the request has not run and never will.
 int statusOf(ForwardFailure why, bool mayHaveRun) {
   switch (why) {
   case ForwardFailure::NoRoute:
@@ -94,7 +95,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Choosing
+// Server selection
 //===----------------------------------------------------------------------===//
 
 void AttemptController::next(TimePoint now, ForwardRequest &request) {
@@ -161,7 +162,8 @@
   const TimePoint chance =
       chanceOf(*std::ranges::min_element(paced, {}, chanceOf));
   request.LastRefusal = RefusalReason::RateLimited;
-  // Each server gives one permit at a time.
+  // Each server grants one permit at a time, so no more requests than servers
+  // are deferred for permits.
   const auto waiting = std::ranges::count_if(Board.Held, [&](const auto key) {
     return Board.Requests.at(key).Service == request.Service;
   });
@@ -219,7 +221,7 @@
   if (!Holds.hold(now, request))
     return giveUp(now, request, why);
   note(now, "request_held", request, forwardFailureName(why));
-  // Whoever couldn't take it may be back when it is tried again.
+  // Agents and servers that refused it may be available again at the next try.
   request.Tried.clear();
   request.Avoid.clear();
 }
@@ -291,7 +293,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What agents say
+// Messages from agents
 //===----------------------------------------------------------------------===//
 
 ForwardRequest *AttemptController::find(const AttemptId &attempt,
@@ -325,12 +327,12 @@
   noteLoad(agent, message.Load);
   ForwardRequest *request = find(message.Attempt, agent);
   if (!request || request->Attempt->Sent) {
-    // Nobody waits for it any more: the place must not stay taken.
+    // No request waits for this permit any more: its place must be freed.
     if (!request)
       release({.Id = message.Attempt, .Agent = agent}, ReleaseKind::NotRun);
     return;
   }
-  // A process that slept finds permits of before.
+  // A process that was suspended may receive permits granted before.
   if (now >= request->Deadline)
     return giveUp(now, *request, ForwardFailure::TimedOut);
   request->Attempt->Heard = true;
@@ -346,7 +348,7 @@
         Board.Servers.noteLimit(now, server->Record.process(), message.Limit);
     if (!changes.empty())
       note(now, "server_feedback", *request,
-           changes + ", told by agent " + agent.str());
+           changes + ", reported by agent " + agent.str());
     return send(now, *request, *server);
   }
   notRun(now, *request, ServerOutcome::Declined, ReleaseKind::NotRun);
@@ -450,7 +452,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Ends
+// Ends of attempts and requests
 //===----------------------------------------------------------------------===//
 
 void AttemptController::tellAgent(const HostName &agent, Message message) {
@@ -577,7 +579,7 @@
     return std::nullopt;
   const Duration least =
       std::max(request.ComeBack, Board.Options.LeastComeBack);
-  // The ledger has spread those who return already.
+  // The ledger has already spread the retries of refused callers.
   if (why == ForwardFailure::OverAllotment)
     return least;
   return Board.Jitter.jitter(least);
--- a/packages/forward/pimentofront/src/Forward/AttemptController.h
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.h
@@ -9,8 +9,8 @@
 
 /// \class AttemptController
 /// \ingroup Forward
-/// \brief Which backend server gets a request, and whether another one does
-/// when that one didn't answer it.
+/// \brief Chooses the backend server for each request, and decides whether
+/// another server gets it when an attempt fails.
 class AttemptController {
 public:
   /// \param routing chooses among agents; outlives the controller.
@@ -20,9 +20,9 @@
       : Board(board), Accounts(accounts), Holds(holds), Quarantine(quarantine),
         Routing(routing) {}
 
-  /// Starts the first or another attempt, or gives the request up.
+  /// Starts the next attempt at the request, or gives the request up.
   void next(TimePoint now, ForwardRequest &request);
-  /// Goes on by what was decided on the request's leave to be sent.
+  /// Continues according to the decision on whether the request may be sent.
   void goOn(TimePoint now, ForwardRequest &request, SendLeave leave);
   void onAdmitted(TimePoint now, const HostName &agent,
                   const AttemptAdmitted &message);
@@ -32,45 +32,47 @@
                  const AttemptRefused &message);
   void onAgentLost(TimePoint now, const HostName &agent);
   void onAgentLeaving(const AgentLeaving &message);
-  /// Other processes have registered under the names of some servers: what was
-  /// sent to the former ones may be lost.
+  /// Other processes have registered under the names of some servers: requests
+  /// sent to the former processes may be lost.
   void suspectFormerProcesses(TimePoint now);
-  /// The process has stood still for \p gap: permits may have come long ago.
+  /// This process was stalled for \p gap: permits may have arrived long ago.
   void onStop(Duration gap);
-  /// Other zones are evacuated now: requests that wait at agents there go
-  /// elsewhere.
+  /// The set of evacuated zones has changed: requests that wait for agents in
+  /// an evacuated zone are sent elsewhere.
   void onZonesChanged(TimePoint now);
-  /// The agent of an attempt has said nothing in time.
+  /// The agent of the current attempt hasn't answered in time: tries another
+  /// one.
   void passBySilentAgent(TimePoint now, ForwardRequest &request);
 
   /// The server didn't run the request; \p outcome says why.
   void notRun(TimePoint now, ForwardRequest &request, ServerOutcome outcome,
               ReleaseKind release);
-  /// Ends an attempt that failed, after which the request may have run.
+  /// Ends a failed attempt in which the server may have run the request.
   void endBroken(TimePoint now, ForwardRequest &request);
   /// Sends a request whose attempt has failed to another server, or gives it
   /// up.
   void tryAgain(TimePoint now, ForwardRequest &request);
-  /// \returns whether the request may go to a further server, by its route and
-  /// its state.
+  /// \returns whether its route and its state allow the request to be sent to
+  /// another server.
   bool mayRepeat(TimePoint now, const ForwardRequest &request) const;
-  /// The first event has come: the agent learns of it.
+  /// The first event has arrived: notifies the agent.
   void noteBegan(const ForwardRequest &request);
-  /// Ends the attempt: the agent and the counters learn of it.
+  /// Ends the current attempt; notifies the agent and updates the server's
+  /// counters.
   void endAttempt(TimePoint now, ForwardRequest &request, ServerOutcome outcome,
                   ReleaseKind release);
-  /// Takes back whatever is under way for the request.
+  /// Cancels the current attempt, if there is one.
   void cancel(TimePoint now, ForwardRequest &request);
 
-  /// Keeps the request for a while, or gives it up.
+  /// Defers the request, or gives it up.
   void holdOrGiveUp(TimePoint now, ForwardRequest &request, ForwardFailure why);
-  /// Answers with a refusal that promises that the request did not run, or
-  /// with a failure where it may have run, and forgets the request.
+  /// Answers with a refusal that guarantees that the request did not run, or
+  /// with a failure where it may have run, and removes the request.
   void giveUp(TimePoint now, ForwardRequest &request, ForwardFailure why);
   void finish(TimePoint now, ForwardRequest &request);
   void note(TimePoint now, const char *name, const ForwardRequest &request,
             std::string detail = {}, int status = 0, bool lost = false);
-  /// Keeps what the server asks for with its answer, and tells its agent.
+  /// Records what the server asks for with its answer, and notifies its agent.
   void noteFeedback(TimePoint now, const ForwardRequest &request,
                     const AnswerFeedback &feedback);
   /// The server has run the request, or may have.
@@ -79,35 +81,38 @@
   }
 
 private:
-  /// Asks an agent, or sends to a plain server.
+  /// Asks an agent for a permit, or sends to a plain server.
   void choose(TimePoint now, ForwardRequest &request);
   void choosePlain(TimePoint now, ForwardRequest &request);
   void chooseEngine(TimePoint now, ForwardRequest &request);
-  /// No server takes the request now.
+  /// No server takes the request now: defers or refuses it.
   void noneTakes(TimePoint now, ForwardRequest &request);
-  /// Only servers take it to which this entry has no permit to send: the
-  /// request waits for one, or is refused.
+  /// The only servers that take the request are rate-limited or cold ones for
+  /// which this entry has no permit: defers the request until one may come, or
+  /// refuses it.
   void awaitPermit(TimePoint now, ForwardRequest &request,
                    const std::vector<ServerProcess> &paced);
-  /// \returns whether a zone may have been evacuated of which this entry hasn't
-  /// heard.
+  /// \returns whether a zone may have been evacuated without this entry
+  /// knowing.
   bool mayMissEvacuation(TimePoint now) const;
   /// The host of an agent may be gone, and the engine with it.
   void suspect(TimePoint now, const HostName &agent);
   void askAgent(TimePoint now, ForwardRequest &request, const Route &route);
   void send(TimePoint now, ForwardRequest &request, ServerView &server);
-  /// Plain services have no agent, and one that has gone needs no word.
+  /// Sends the message if the agent is known. Plain services have no agent, and
+  /// an agent that has gone needs no message.
   void tellAgent(const HostName &agent, Message message);
   void release(const ForwardAttempt &attempt, ReleaseKind kind);
-  /// \returns when a caller that is refused is to come back; nothing if that is
-  /// no use.
+  /// \returns the retry-after time for a refused caller; nothing if a retry is
+  /// useless.
   std::optional<Duration> comeBackOf(const ForwardRequest &request,
                                      ForwardFailure why);
   void noteLoad(const HostName &agent, const LoadFigures &load);
   ForwardRequest *find(const AttemptId &attempt, const HostName &agent);
-  /// \returns whether its route allows it a further server.
+  /// \returns whether its route's limit of servers allows another one.
   static bool hasServersLeft(const ForwardRequest &request);
-  /// \returns whether whoever was asked is out of service, not overloaded.
+  /// \returns whether the request is for an engine and no agent refused it for
+  /// being overloaded: those that refused it are out of service.
   bool isOutage(const ForwardRequest &request) const;
 
   ForwardBoard &Board;
--- a/packages/forward/pimentofront/src/Forward/ForwardBoard.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardBoard.h
@@ -13,109 +13,120 @@
 
 /// \class ForwardOptions
 /// \ingroup Forward
-/// \brief The knobs of forwarding. docs/OPERATORS.md says what each does.
+/// \brief The options of forwarding; docs/OPERATORS.md explains each.
 struct ForwardOptions {
   /// Random number drawn when the process started.
   std::uint64_t Incarnation = 0;
   HostName Host;
   ServerSetOptions Servers;
-  /// An agent that doesn't answer at all in this time is passed by: some
-  /// round trips between zones, and a wait for a turn of its processor.
+  /// An agent that hasn't answered within this time is skipped. Covers several
+  /// round trips between zones and the agent's wait for its CPU.
   Duration PermitTimeout = std::chrono::milliseconds(250);
   /// A server whose host is suspected to be gone is given up when it has sent
-  /// nothing for so long: long enough for a prompt of usual size.
+  /// nothing for this long: enough time to process a prompt of usual size.
   Duration LostSilence = std::chrono::milliseconds(500);
-  /// And so long after the suspicion, in which a byte clears it.
+  /// Such a server is given up no sooner than this long after the suspicion; a
+  /// byte that it sends in this time clears the suspicion.
   Duration LostGrace = std::chrono::milliseconds(200);
-  /// A key that was taken away is served for so long at most, counted from the
-  /// acknowledgement of the configuration that did: by entries that are cut
-  /// off, frozen or suspended, too.
+  /// Longest time for which a revoked key is still accepted, counted from the
+  /// acknowledgement of the configuration that revoked it. Holds for entries
+  /// that are partitioned, stalled or suspended, too.
   Duration RevocationBound = std::chrono::seconds(5);
-  /// An entry that has had no word of the replicas for so long sends nothing: a
-  /// zone may have been evacuated since. Zero: it serves on by what it knows.
+  /// An entry that has received nothing from the replicas for this long sends
+  /// no requests, because a zone may have been evacuated since. Zero disables
+  /// the check: the entry goes on with its last known state.
   Duration EvacuationBound = Duration::zero();
   ZoneRegions Regions;
-  /// Kept back of a caller's time, for the way of the final answer.
+  /// Subtracted from a caller's deadline to leave time for delivering the final
+  /// answer.
   Duration AnswerReserve = std::chrono::milliseconds(30);
-  /// Sends to a second server for each request. All entries together stay
-  /// under a fifth, which is what backend servers are laid out for.
+  /// Retries on a second server per request. All entries together stay below
+  /// 0.2, the extra load that backend servers are sized for.
   double RetryShare = 0.15;
-  /// Such sends that may be saved up, by all entries together.
+  /// Unused retries that all entries together may accumulate.
   double RetryReserve = 40;
-  /// Connections that fail before a request is given up.
+  /// Failed connections to servers that a request tolerates; one more and it is
+  /// given up.
   std::uint32_t MaxUnreachable = 3;
-  /// Answers up to this size are held until they are whole, so that one that
-  /// breaks off can be replaced by another server's.
+  /// Answers up to this size, in bytes, are buffered until they are complete,
+  /// so that an answer that breaks off can be replaced by another server's.
   std::size_t HoldBytes = std::size_t(64) << 10;
-  /// A request that nothing can take just now may wait so long for that to
-  /// pass: a lost power supply's second without a routing document, and the
-  /// time in which engines have their base model back from their disks.
+  /// Longest time for which a request that nothing can take now is deferred.
+  /// After a power loss the routing document is missing for about a second, and
+  /// engines need time to reload their base model from disk.
   Duration HoldTime = std::chrono::seconds(2);
-  /// And this part of the time that its caller waits, so that a refusal leaves
-  /// time to come back.
+  /// Deferral also ends after this share of the time that the caller waits, so
+  /// that a refused caller has time left to retry.
   double HoldShare = 1.0 / 3;
-  /// It is tried again after so long.
+  /// Delay before a deferred request is tried again.
   Duration HoldPause = std::chrono::milliseconds(100);
-  /// Requests that may wait so at one time: some seconds of an entry's share.
+  /// Maximum number of requests deferred at one time: a few seconds of an
+  /// entry's share of the traffic.
   std::size_t MostHeld = 256;
-  /// Shortest time to come back that a refusal names.
+  /// Shortest retry-after time that a refusal names.
   Duration LeastComeBack = std::chrono::milliseconds(100);
-  /// The replicas must have said by then whether a watched request may be
-  /// tried: a commit, a change of their leader, and little of a caller's time.
+  /// Timeout for the replicas' decision on whether a watched request may be
+  /// tried. Covers a commit and a change of leader, and takes little of a
+  /// caller's time.
   Duration LeaveTimeout = std::chrono::milliseconds(700);
-  /// A request under which a second server has ended asks for leave so much
-  /// later, when all entries that had requests there have reported: a few round
-  /// trips, with a connection to the leader and its commit. Without that, on
-  /// two of ten runs with three and more requests that end servers, a neighbour
+  /// A request that was in flight when a second server process exited waits for
+  /// this long before it requests a trial, so that all entries that had
+  /// requests on that server have reported. Covers a few round trips, including
+  /// a connection to the leader and its commit. Without the wait, in two of ten
+  /// runs with three or more requests that crash servers, an unaffected request
   /// was taken for the cause before the cause itself was reported.
   Duration SettleTime = std::chrono::milliseconds(60);
-  /// A report on the end of a server, or of a trial, is sent again for so long:
-  /// the replicas' outages that are borne pass in it.
+  /// Reports on the exit of a server or on the end of a trial are resent for
+  /// this long; every outage of the replicas that has to be tolerated ends
+  /// within this time.
   Duration ReportTimeout = std::chrono::seconds(30);
-  /// After the process has slept, requests wait so long at most for the word
-  /// of what is in quarantine; an entry that is cut off serves on.
+  /// After the process was suspended, requests wait for at most this long for
+  /// an update on what is in quarantine. An entry that can't reach the replicas
+  /// then serves without it.
   Duration AskFirstTime = std::chrono::milliseconds(500);
-  /// When to come back to a process without a routing document: replicas that
-  /// were all killed need so long for a leader and its word.
+  /// Retry-after time named by a process without a routing document. Replicas
+  /// that were all killed need this long to elect a leader and to hear from it.
   Duration UnreadyComeBack = std::chrono::milliseconds(800);
 };
 
-/// Why a request has no answer of a backend server.
+/// Why a request has no answer from a backend server.
 enum class ForwardFailure : std::uint8_t {
   /// No routing document is known yet, or none that is known to be the newest.
   NotReady,
   NoRoute,
-  /// The request has no id, so that its answer couldn't be told from others.
+  /// The request has no id, so its answer couldn't be told apart from others.
   Malformed,
   NoServer,
-  /// All that could take it declined.
+  /// Every server that could take it declined.
   Declined,
   TimedOut,
-  /// It broke off, and may not run once more.
+  /// The attempt broke off, and the request may not be run again.
   BrokeOff,
   CallerGone,
-  /// It ends the servers that run it: nobody gets it any more.
+  /// The request crashes the servers that run it and is sent to none.
   Quarantined,
-  /// Servers ended under it, and another attempt at it is under way.
+  /// Servers exited while they ran it, and another attempt at it is in
+  /// progress.
   OnTrial,
-  /// Servers ended under it, and the replicas don't say whether it may be
-  /// tried.
+  /// Servers exited while they ran it, and the replicas haven't decided whether
+  /// it may be tried.
   NoLeave,
   /// No client account holds its key.
   UnknownKey,
-  /// The copy of the configuration is too old to tell whether a key still
-  /// holds.
+  /// The copy of the configuration is too old to tell whether a key is still
+  /// valid.
   KeysOutdated,
   /// Its client account has used up its allotment.
   OverAllotment,
-  /// The leader of the replicas doesn't say whether the allotment has room.
+  /// The leader of the replicas hasn't said whether the allotment has units
+  /// left.
   NoAllotment,
-  /// All servers of the service have asked for rest.
+  /// All servers of the service have asked for a backoff.
   ServersRest,
   /// The copy of the configuration is too old to tell which zones are
   /// evacuated.
   ZonesOutdated,
-  /// No server is in a region that its route and its client account allow.
+  /// No server is in a region that both its route and its client account allow.
   NoRegion,
 };
 /// \returns the name of \p failure in logs and metrics.
@@ -123,36 +134,36 @@
 
 /// \class ForwardAttempt
 /// \ingroup Forward
-/// \brief One try at one backend server.
+/// \brief One attempt at one backend server.
 struct ForwardAttempt {
   AttemptId Id;
   /// Agent that was asked for a permit; empty for a plain service.
   HostName Agent;
   bool OnlyIfResident = false;
-  /// The agent has said something.
+  /// The agent has answered.
   bool Heard = false;
-  /// The longest that the process has stood still since the agent was asked.
+  /// Longest time for which this process was stalled since it asked the agent.
   Duration LongestStop = Duration::zero();
   ServerProcess Server;
   TimePoint StartedAt;
   bool Sent = false;
   TimePoint SentAt;
   std::optional<TimePoint> FirstEventAt;
-  /// When the server sent something last.
+  /// When the server last sent a part of the answer's body.
   TimePoint HeardAt;
-  /// When its host was suspected to be gone: its agent ended or fell silent,
-  /// or another process of the server has registered.
+  /// When its host was suspected to be gone: its agent exited or stopped
+  /// answering, or another process has registered as this server.
   TimePoint SuspectedAt;
-  /// The head of the right answer has come.
+  /// Head of the accepted answer, once received.
   std::optional<ResponseHead> Head;
-  /// Body, as long as it is held.
+  /// Body of the answer as long as it is buffered.
   std::string Held;
 };
 
 /// Whether a watched request may be tried.
 enum class TrialState : std::uint8_t {
   None,
-  /// The replicas will be asked when other entries have reported, too.
+  /// Waits for other entries' reports before the replicas are asked.
   Settling,
   Asked,
   Granted,
@@ -167,54 +178,54 @@
   std::shared_ptr<const std::string> Body;
   RequestTraits Traits;
   ContentHash BodyHash;
-  /// The same for each attempt at the same request, at whichever entry.
+  /// Equal for all attempts at the same request, on whichever entry.
   ContentHash Content;
   std::shared_ptr<const RoutingTable> Table;
   const RouteSpec *Route = nullptr;
-  /// Client account that holds its key, in its table; null where nobody needs
-  /// one.
+  /// Client account that owns the request's key, stored in Table; null where no
+  /// account is needed.
   const ClientAccount *Account = nullptr;
-  /// Its units of the account's allotment.
+  /// Units of the account's allotment that the request takes.
   AllotmentCharge Charge;
-  /// The units were spent on an earlier send.
+  /// An earlier send has spent the units.
   bool Charged = false;
   ServiceName Service;
   bool ToEngine = false;
   AdapterKey Adapter;
-  /// Where it may be served, by its route and its client account.
+  /// Zones that its route and its client account allow.
   AllowedZones Zones;
   TimePoint ArrivedAt;
   TimePoint Deadline;
   std::optional<ForwardAttempt> Attempt;
-  /// Agents that turned it down.
+  /// Agents that refused it.
   std::vector<TriedHost> Tried;
-  /// Servers that had their try, reached or not.
+  /// Servers that it was sent to, reached or not.
   std::vector<ServerProcess> Avoid;
-  /// Servers that may have received it.
+  /// Number of servers that may have received it.
   std::uint32_t Sends = 0;
   std::uint32_t Unreachable = 0;
-  /// Some server may have run it.
+  /// A server may have run it.
   bool MayHaveRun = false;
   TrialState Trial = TrialState::None;
-  /// Until when it is Settling.
+  /// End of the Settling state.
   TimePoint SettledAt;
-  /// It was sent with the leave that it has.
+  /// It was sent under its current trial grant.
   bool SentOnTrial = false;
-  /// Its server is looked at before it goes on.
+  /// Server that is being checked before the request continues.
   std::optional<ServerProcess> Checks;
-  /// The caller has the head of the answer.
+  /// The caller has received the head of the answer.
   bool Answering = false;
   EventStream Events;
-  /// The longest that a refusal told to wait.
+  /// Longest retry-after time that a refusal named.
   Duration ComeBack = Duration::zero();
   RefusalReason LastRefusal = RefusalReason::None;
-  /// What decided its refusal, for the log.
+  /// Detail of the refusal, for the log.
   std::string Grounds;
-  /// When a held request is tried again.
+  /// When a deferred request is tried again.
   TimePoint NextTryAt;
 
-  /// \returns its rank, 0 being the most urgent: the client account's goes
-  /// before the route's.
+  /// \returns its priority, 0 being the most urgent; the client account's takes
+  /// precedence over the route's.
   std::uint32_t priority() const {
     if (Account && Account->Priority)
       return *Account->Priority;
@@ -225,45 +236,46 @@
 /// Sends a request to a backend server.
 struct SendUpstream {
   AttemptId Attempt;
-  /// Kept connections to another process at the address aren't used.
+  /// Pooled connections to another process at the same address aren't used.
   ServerProcess Server;
   std::string Address;
   RequestHead Head;
   std::shared_ptr<const std::string> Body;
-  /// The request may run once only, so it gets a connection that is surely
+  /// The request may run only once, so it needs a connection that is certainly
   /// alive.
   bool Once = false;
-  /// The connections that there may be to the server, this one among them.
+  /// How many connections to the server are allowed, this one included.
   ConnectionPart Connections;
 };
-/// Closes the connection of an attempt, which has the server stop.
+/// Closes the connection of an attempt, which makes the server stop.
 struct CancelUpstream {
   AttemptId Attempt;
 };
-/// Reads an answer to its end, for the sake of its connection.
+/// Reads an answer to its end and discards it, so that its connection can be
+/// reused.
 struct IgnoreUpstream {
   AttemptId Attempt;
 };
-/// Asks whether the process of a server still runs.
+/// Checks whether the process of a server still runs.
 struct CheckServer {
   ServerProcess Server;
   std::string Address;
 };
-/// What a look at a server's address said of its process.
+/// Result of checking the process at a server's address.
 enum class ServerLife : std::uint8_t {
   Lives,
   /// Its host refuses connections to it.
   Ended,
-  /// Silence: a host without power, a cut, a frozen process.
+  /// No reply: a host without power, a network partition, or a stalled process.
   Unknown,
 };
-/// Has the replicas decide.
+/// Submits a command for the replicas to decide.
 struct AskReplicas {
   std::uint64_t Nonce = 0;
   CommandBody Question;
   Duration GiveUpAfter = Duration::zero();
 };
-/// Answers a caller whole.
+/// Sends a caller a complete answer.
 struct ReplyWhole {
   std::uint64_t Key = 0;
   ResponseHead Head;
@@ -281,7 +293,7 @@
 struct ReplyEnd {
   std::uint64_t Key = 0;
 };
-/// Ends the caller's connection, so that the answer doesn't look complete.
+/// Closes the caller's connection, so that the answer doesn't look complete.
 struct ReplyAbort {
   std::uint64_t Key = 0;
 };
@@ -292,7 +304,7 @@
 
 /// \class ForwardEvent
 /// \ingroup Forward
-/// \brief A decision about a request, with what decided it, for logs and
+/// \brief A decision about a request and the reasons for it, for logs and
 /// metrics.
 struct ForwardEvent {
   const char *Name = "";
@@ -300,21 +312,21 @@
   std::string Route;
   AccountName Account;
   HostName Server;
-  /// What the request is, whatever the id of this attempt.
+  /// Identifies the request independently of the id of this attempt.
   ContentHash Content;
   std::string Detail;
-  /// For a request without an answer.
+  /// Set for a request without an answer.
   const char *Reason = "";
-  /// Since the request arrived.
+  /// Time since the request arrived.
   Duration Took = Duration::zero();
   int Status = 0;
-  /// The request has no answer of a backend server.
+  /// The request has no answer from a backend server.
   bool Lost = false;
 };
 
 /// \class ForwardBoard
 /// \ingroup Forward
-/// \brief What the controllers of forwarding know in common.
+/// \brief State that the controllers of forwarding share (blackboard pattern).
 struct ForwardBoard {
   ForwardBoard(const ForwardOptions &options,
                const ConfigurationView &configuration, const HeaderCodec &codec)
@@ -327,8 +339,8 @@
   const ForwardOptions Options;
   const ConfigurationView &Configuration;
   const HeaderCodec &Codec;
-  /// The newest routing document can't be read here, so that the one in use may
-  /// allow what is forbidden.
+  /// This process can't read the newest routing document, so the one in use may
+  /// allow what the newest forbids.
   bool TableOutdated = false;
   ServerSet Servers;
   Random Jitter;
@@ -339,7 +351,7 @@
   std::shared_ptr<const RoutingTable> Table;
   std::unordered_map<std::uint64_t, ForwardRequest> Requests;
   std::unordered_map<AttemptId, std::uint64_t> Attempts;
-  /// Requests that wait until something can take them.
+  /// Deferred requests, which wait until something can take them.
   std::set<std::uint64_t> Held;
   std::uint64_t LastSequence = 0;
   std::vector<ForwardCommand> Commands;
@@ -348,14 +360,15 @@
   /// \returns whether the copy of the configuration was confirmed less than
   /// \p bound ago.
   bool confirmedWithin(TimePoint now, Duration bound) const {
-    // Clocks of hosts run apart by less than this share: NTP slews by half of
-    // it.
+    // Bound on the relative drift between two hosts' clocks, twice the rate at
+    // which NTP slews a clock.
     constexpr double MostClockDrift = 0.001;
     const std::optional<Duration> age = Configuration.confirmedAge(now);
     return age && toSeconds(*age) < toSeconds(bound) * (1 - MostClockDrift);
   }
-  /// \returns whether that will hold for a while yet: callers are turned away
-  /// before they have to be refused.
+  /// \returns whether confirmedWithin() will hold for a while longer. Readiness
+  /// depends on it, so that callers are directed to other entries before their
+  /// requests have to be refused.
   bool confirmedWellWithin(TimePoint now, Duration bound) const {
     constexpr double ReadyShare = 0.6;
     return confirmedWithin(now, fromSeconds(toSeconds(bound) * ReadyShare));
--- a/packages/forward/pimentofront/src/Forward/ForwardController.cpp
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.cpp
@@ -5,7 +5,7 @@
 namespace pimentofront {
 namespace {
 
-/// \returns the live version of an adapter; 0 when none was ever named.
+/// \returns the highest live version of an adapter; 0 if it has none.
 VersionNumber liveVersion(const ConfigurationView &configuration,
                           const AdapterName &name) {
   const std::optional<AdapterRecord> adapter = configuration.findAdapter(name);
@@ -17,16 +17,16 @@
   return highest;
 }
 
-/// \returns a number from [0, 1) that is the same for the same id, so that a
-/// request sent again takes the same way.
+/// \returns a number from [0, 1) that depends on the id only, so that a request
+/// sent again goes to the same service.
 double drawOf(const std::string &id) {
   constexpr unsigned UnusedBits = 11;
   constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
   return static_cast<double>(stableHash(id) >> UnusedBits) * Scale;
 }
 
-/// \returns what tells the request from others, whatever ids its attempts bear:
-/// where it is sent, who sends it, and its body.
+/// \returns a hash that identifies the request across attempts with different
+/// ids: of its method, host, target, client account and body.
 ContentHash contentOf(ContentHasher &hasher, const ForwardRequest &request) {
   const ContentHash &bodyHash = request.BodyHash;
   const std::string *host = findHeader(request.Head.Headers, "host");
@@ -119,8 +119,8 @@
   request.Route =
       request.Table->findRoute(host ? *host : "", request.Head.Target);
   if (!request.Route) {
-    // "There is no such route" is said of the newest configuration, so only by
-    // one that knows it has that.
+    // Only an entry that knows the newest configuration may answer that no such
+    // route exists.
     if (!Accounts.knowsNewest(now))
       return holdUnresolved(now, request);
     return Attempts.giveUp(now, request, ForwardFailure::NoRoute);
@@ -182,7 +182,8 @@
 void ForwardController::onSendPermit(TimePoint now,
                                      const SendPermitReply &reply) {
   Board.Permits.onReply(now, reply);
-  // Whoever waits for a permit is sent, told to wait on, or refused.
+  // Requests that wait for a permit are tried again: each is sent, deferred
+  // again, or refused.
   for (const std::uint64_t key : Board.Held) {
     ForwardRequest &request = Board.Requests.at(key);
     if (request.Route && !request.ToEngine)
--- a/packages/forward/pimentofront/src/Forward/ForwardController.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.h
@@ -7,8 +7,8 @@
 
 /// \class ForwardController
 /// \ingroup Forward
-/// \brief All decisions of an entry about requests that are passed on as they
-/// are. The shell tells it what happened and carries out the commands.
+/// \brief Makes all of an entry's decisions about requests that are forwarded
+/// unchanged. Does no I/O: the node reports events and executes the commands.
 class ForwardController {
 public:
   /// \param configuration, \p codec and \p routing outlive the controller.
@@ -19,38 +19,40 @@
   /// A new routing document is in force.
   void setTable(std::shared_ptr<const RoutingTable> table);
   void onMembers(TimePoint now, const MemberUpdate &update);
-  /// These zones are evacuated, by the configuration in force.
+  /// These zones are evacuated, according to the configuration in force.
   void onEvacuatedZones(TimePoint now, std::set<ZoneName> zones);
-  /// So many entries share the budget of further sends, and the connections
+  /// Sets the number of entries that share the retry budget and the connections
   /// to each backend server.
   void onEntries(TimePoint now, std::uint32_t entries);
 
-  /// A request has arrived whole; \p bodyHash stands for its body. \p key names
-  /// it until its answer has ended.
+  /// A request has been received completely; \p bodyHash is the hash of its
+  /// body. \p key identifies it until its answer has ended.
   void onRequest(TimePoint now, std::uint64_t key, RequestHead head,
                  std::string body, const ContentHash &bodyHash);
   /// The caller has closed its connection.
   void onCallerGone(TimePoint now, std::uint64_t key);
 
-  /// \returns whether it is known which zones are evacuated, and will be for a
-  /// while yet.
+  /// \returns whether this entry knows which zones are evacuated, and will for
+  /// a while longer.
   bool knowsZones(TimePoint now) const;
   QuarantineController &quarantine() { return Quarantine; }
   AccountController &accounts() { return Accounts; }
-  /// The newest routing document can't be read here.
+  /// This process can't read the newest routing document.
   void setTableOutdated() { Board.TableOutdated = true; }
-  /// \returns whether there may be something to tell it.
+  /// \returns whether takeAllotmentReport() may have something.
   bool wantsAllotmentReport(TimePoint now) const {
     return Board.Leases.wantsReport(now);
   }
-  /// \returns what to tell the leader of the replicas on allotments.
+  /// \returns the report on allotments for the leader of the replicas, if one
+  /// is due.
   std::optional<AllotmentReport> takeAllotmentReport(TimePoint now) {
     return Board.Leases.takeReport(now);
   }
   /// The leader has answered a report.
   void onAllotmentGrants(TimePoint now, const AllotmentGrants &grants);
   bool wantsPermitQuery() const { return Board.Permits.wantsQuery(); }
-  /// \returns what to ask the leader for sends to limited servers.
+  /// \returns the queries for permits to send to limited or cold servers, for
+  /// the leader.
   std::vector<SendPermitQuery> takePermitQueries() {
     return Board.Permits.takeQueries();
   }
@@ -61,20 +63,21 @@
     Board.Leases.onLinkLost();
     Board.Permits.onLinkLost(now);
   }
-  /// \returns whether the leader has left a question unanswered for too long.
+  /// \returns whether the leader has left a report or query unanswered for too
+  /// long.
   bool ledgerUnanswered(TimePoint now) const {
     return Board.Leases.unanswered(now) || Board.Permits.unanswered(now);
   }
   /// The replicas have decided on a question, or haven't in time.
   void onDecision(TimePoint now, std::uint64_t nonce,
                   const std::optional<CommandOutcome> &outcome);
-  /// A server whose answer had broken off was looked at.
+  /// A server whose answer had broken off has been checked.
   void onServerChecked(TimePoint now, const ServerProcess &server,
                        ServerLife life);
 
   AttemptController &attempts() { return Attempts; }
   AnswerController &answers() { return Answers; }
-  /// Looks at time limits; to be called every some ten milliseconds.
+  /// Enforces timeouts; to be called every few tens of milliseconds.
   void tick(TimePoint now);
 
   std::vector<ForwardCommand> takeCommands();
@@ -84,18 +87,20 @@
 
 private:
   void resolve(TimePoint now, ForwardRequest &request);
-  /// Lets the request in by its key and its account's allotment, and sends it.
+  /// Admits the request by its key and its account's allotment, and sends it.
   void admit(TimePoint now, ForwardRequest &request);
-  /// The request has waited for its units for too long.
+  /// \returns whether the request has waited for its units for too long.
   bool waitsTooLong(TimePoint now, const ForwardRequest &request) const;
-  /// Keeps a request whose route can't be told yet: no configuration is known,
-  /// or it isn't known to be the newest.
+  /// Defers a request whose route can't be determined yet: no configuration is
+  /// known, or it isn't known to be the newest.
   void holdUnresolved(TimePoint now, ForwardRequest &request);
-  /// Tries held requests again.
+  /// Tries deferred requests again that are due.
   void retryHeld(TimePoint now);
-  /// The agent hasn't said anything for too long.
+  /// \returns whether the agent's answer is overdue.
   bool isSilent(TimePoint now, const ForwardRequest &request) const;
-  /// The server's host has gone, by all that is known of it.
+  /// \returns whether the request may be repeated and its server's host must be
+  /// assumed to be gone: the host is suspected, LostGrace has passed since, and
+  /// the server has sent nothing for LostSilence.
   bool isLost(TimePoint now, const ForwardRequest &request) const;
 
   ForwardBoard Board;
--- a/packages/forward/pimentofront/src/Forward/HoldController.h
+++ b/packages/forward/pimentofront/src/Forward/HoldController.h
@@ -7,29 +7,30 @@
 
 /// \class HoldController
 /// \ingroup Forward
-/// \brief Keeps requests that nothing can take just now, for as long as that
-/// may well pass, and says when each is to be tried again.
+/// \brief Defers requests that nothing can take now, for as long as the cause
+/// is likely to pass, and schedules their next tries.
 ///
-/// After a loss of power the routing document comes a second after the first
-/// caller, and the engines' base model half a second later. A caller who is
-/// refused meanwhile and may come back only once or twice is lost to it. Held
-/// is only what has been sent nowhere, so its refusal, if it comes to that,
-/// truly says that it has not run. Not for overload: who finds all servers full
-/// is refused at once.
+/// After a power loss the routing document arrives a second after the first
+/// caller's request, and the engines have their base model half a second later.
+/// A caller that is refused in between and retries only once or twice gets no
+/// answer at all. Only requests that have been sent to no server are deferred,
+/// so a later refusal still guarantees that the request has not run. Not for
+/// overload: a request that finds all servers full is refused at once.
 class HoldController {
 public:
   explicit HoldController(ForwardBoard &board) : Board(board) {}
 
-  /// Keeps the request unless it has been sent, has waited long enough, or too
-  /// many wait already.
-  /// \returns whether it is kept.
+  /// Defers the request, unless it has been sent, has waited long enough, or
+  /// too many are deferred already.
+  /// \returns whether it is deferred.
   bool hold(TimePoint now, ForwardRequest &request);
-  /// Has a held request tried at \p at, if that is sooner.
+  /// Moves the next try of a deferred request forward to \p at, if that is
+  /// sooner.
   void wakeAt(std::uint64_t key, TimePoint at);
-  /// \returns the requests that are to be tried again now, which aren't held
-  /// any more.
+  /// \returns the requests that are to be tried again now; they are no longer
+  /// deferred.
   std::vector<std::uint64_t> takeDue(TimePoint now);
-  /// \returns until when the request may wait.
+  /// \returns until when the request may be deferred.
   TimePoint limitOf(const ForwardRequest &request) const;
 
 private:
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 //===----------------------------------------------------------------------===//
-// Leave to send
+// Trial grants
 //===----------------------------------------------------------------------===//
 
 bool QuarantineController::mayNotKnow(TimePoint now) const {
@@ -113,13 +113,13 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Ends of servers
+// Server exits
 //===----------------------------------------------------------------------===//
 
 bool QuarantineController::checkServer(ForwardRequest &request) {
   const ServerProcess process = request.Attempt->Server;
   const ServerView *server = Board.Servers.find(process);
-  // One that said that it leaves has ended by plan.
+  // A server that announced that it is leaving has exited as planned.
   if (!server || server->Record.Leaving)
     return false;
   const auto [it, isNew] = Checks.try_emplace(process);
@@ -130,7 +130,7 @@
       {.Content = request.Content,
        .Answering = request.Attempt->FirstEventAt.has_value(),
        .Holder = held ? holderOf(Board, request) : AttemptId()});
-  // The leave goes with the report.
+  // The report releases the trial grant, too.
   if (held)
     request.Trial = TrialState::None;
   request.Checks = process;
@@ -208,7 +208,7 @@
   Board.Events.push_back({.Name = "server_ended",
                           .Server = server.Name,
                           .Detail = "new connections are refused; requests of "
-                                    "this entry at work: " +
+                                    "this entry in flight there: " +
                                     std::to_string(atWork.size())});
   const std::uint64_t nonce =
       ask(ReportServerEnd{server, atWork}, Board.Options.ReportTimeout);
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.h
@@ -8,16 +8,16 @@
 /// Whether a request may be sent to a backend server.
 enum class SendLeave : std::uint8_t {
   Granted,
-  /// The replicas are being asked; their word comes by onDecision().
+  /// The replicas are being asked; onDecision() returns their decision.
   Asked,
-  /// It can't be told yet what is in quarantine: to be tried again soon.
+  /// It isn't known yet what is in quarantine: to be tried again soon.
   NotKnown,
-  /// Another attempt at the same request is under way.
+  /// Another attempt at the same request is in progress.
   OnTrial,
   Quarantined,
 };
 
-/// A request that goes on, and with which leave.
+/// A request that waited for a decision, and the decision.
 struct LeaveDecision {
   std::uint64_t Key = 0;
   SendLeave Leave = SendLeave::Granted;
@@ -25,49 +25,50 @@
 
 /// \class QuarantineController
 /// \ingroup Forward
-/// \brief An entry's part in finding the requests that end backend servers
-/// (queries of death), and in keeping them from further ones.
+/// \brief An entry's part in detecting requests that crash backend servers
+/// (queries of death), and in keeping them from further servers.
 ///
-/// An answer that breaks off says little: connections are reset, servers stop
-/// and lose their power. Only a process that has gone from a host that still
-/// answers is a crash: a new connection to its address is refused at once. The
-/// servers that said that they leave don't count. All requests that this entry
-/// had there are reported to the replicas' ledger, which weighs them
-/// (QuarantineLedger), and none of them is sent again without its leave. That
-/// costs a watched request one question of the server and a commit of the
-/// replicas.
+/// An answer that breaks off proves little: connections are reset, servers are
+/// stopped or lose power. A server counts as crashed only if its process has
+/// gone while its host still answers, so that a new connection to its address
+/// is refused at once. Servers that announced that they are leaving don't
+/// count. All requests that this entry had on the crashed server are reported
+/// to the replicas' ledger, which weighs them (QuarantineLedger), and none of
+/// them is sent again without a grant from the ledger. This costs a watched
+/// request one check of the server and one commit of the replicas.
 class QuarantineController {
 public:
   explicit QuarantineController(ForwardBoard &board) : Board(board) {}
 
-  /// \returns whether the request may be sent now; asks the replicas if they
-  /// have to say.
+  /// \returns whether the request may be sent now; asks the replicas if the
+  /// decision is theirs.
   SendLeave askLeave(TimePoint now, ForwardRequest &request);
   /// The replicas have decided on a question of this entry, or haven't in time.
-  /// \returns the request that goes on by it.
+  /// \returns the request that waited for it, with the decision.
   std::optional<LeaveDecision>
   onDecision(std::uint64_t nonce, const std::optional<CommandOutcome> &outcome);
   void onUpdate(const QuarantineUpdate &update) {
     Board.Quarantine.apply(update);
   }
 
-  /// An attempt broke off: its server is looked at.
-  /// \returns whether it is. Then onServerChecked() names the request again,
-  /// unless it has ended meanwhile.
+  /// An attempt broke off: has its server checked.
+  /// \returns whether a check is in progress. onServerChecked() then returns
+  /// the request's key, unless the request has ended in the meantime.
   bool checkServer(ForwardRequest &request);
-  /// \returns the requests that waited for it.
+  /// \returns the keys of the requests that waited for this check.
   std::vector<std::uint64_t>
   onServerChecked(TimePoint now, const ServerProcess &server, ServerLife life);
-  /// \returns the requests that may ask for leave now.
+  /// \returns the keys of the requests that may ask the replicas now.
   std::vector<std::uint64_t> takeSettled(TimePoint now);
-  /// A server ran the request and lives.
+  /// A server ran the request and its process still runs.
   void onSurvived(ForwardRequest &request);
-  /// The request ends: whatever leave it had is given back.
+  /// The request ends: releases the trial grant that it holds or has asked for.
   void onFinished(const ForwardRequest &request);
 
-  /// The process has slept or was frozen: what was known then may be old.
+  /// The process was suspended or stalled: what it knows of the quarantine may
+  /// be outdated.
   void onWake(TimePoint now) { AskFirstSince = now; }
-  /// Everything is known that was decided before \p at.
+  /// Every decision made before \p at is known.
   void onKnown(TimePoint at);
 
 private:
@@ -81,16 +82,17 @@
   std::uint64_t ask(CommandBody body, Duration giveUpAfter);
   void endTrial(const ContentHash &content, const AttemptId &holder,
                 TrialEnding ending);
-  /// Gives back the leave that some of \p atWork had.
+  /// Releases the trial grants that some of \p atWork held.
   void endTrials(const std::vector<RequestAtWork> &atWork, ServerLife life);
   void reportEnd(TimePoint now, const ServerProcess &server,
                  const std::vector<RequestAtWork> &atWork);
 
   ForwardBoard &Board;
   std::map<ServerProcess, Check> Checks;
-  /// Requests that wait for leave, by the nonce of the question.
+  /// Keys of the requests that wait for a trial grant, by the nonce of the
+  /// question.
   std::map<std::uint64_t, std::uint64_t> Claims;
-  /// What was reported, by nonce.
+  /// Contents that were reported, by the nonce of the report.
   std::map<std::uint64_t, std::vector<ContentHash>> Reports;
   std::uint64_t LastNonce = 0;
   std::optional<TimePoint> AskFirstSince;
--- a/packages/forward/pimentofront/src/Forward/QuarantineSet.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineSet.h
@@ -10,23 +10,26 @@
 
 /// \class QuarantineSet
 /// \ingroup Forward
-/// \brief What an entry knows of requests that end backend servers: the word of
-/// the replicas, and before it has come, what the entry has seen itself.
+/// \brief What an entry knows of requests that crash backend servers: the state
+/// from the replicas' ledger and, until that has arrived, what the entry has
+/// observed itself.
 class QuarantineSet {
 public:
   QuarantineState stateOf(const ContentHash &content) const;
   void apply(const QuarantineUpdate &update);
-  /// This entry has seen a server end under the request, and reports it.
+  /// This entry has observed that a server exited while it had the request, and
+  /// reports it.
   void watch(const ContentHash &content) { Own[content] = std::nullopt; }
-  /// The ledger has taken the report in, at this version.
+  /// The ledger has recorded the report, at this version.
   void onReported(const ContentHash &content, std::uint64_t version);
-  /// The ledger says what the request is.
+  /// The ledger has decided on the request's state.
   void put(const ContentHash &content, QuarantineState state);
 
 private:
   std::unordered_map<ContentHash, QuarantineState> Known;
-  /// Watched by this entry's own word until the ledger's comes, which has this
-  /// version or a later one; nothing while the report is on its way.
+  /// Requests that this entry watches by its own observation, until an update
+  /// of at least this version arrives from the ledger; nothing while the report
+  /// is in flight.
   std::unordered_map<ContentHash, std::optional<std::uint64_t>> Own;
 };
 
