--- a/test/ForwardTest.cpp
+++ b/test/ForwardTest.cpp
@@ -4,7 +4,8 @@
 using namespace pimentofront::testing;
 using namespace std::chrono_literals;
 
-TEST_CASE("an answer is passed on as it is") {
+TEST_CASE(
+    "an answer is forwarded unchanged, except for its connection headers") {
   ForwardUnderTest it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
@@ -22,7 +23,7 @@
   CHECK(it.Controller.idle());
 }
 
-TEST_CASE("an answer to another request is passed over") {
+TEST_CASE("an answer to another request is skipped") {
   ForwardUnderTest it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
@@ -33,7 +34,7 @@
   CHECK(it.only<ReplyWhole>().Head.Status == 200);
 }
 
-TEST_CASE("a request that runs once at most is never sent twice") {
+TEST_CASE("a non-idempotent request is never sent to a second server") {
   ForwardUnderTest it;
   SECTION("the answer broke off") {
     it.request("once");
@@ -51,14 +52,14 @@
     it.end(sent, Whole);
     CHECK(it.only<ReplyWhole>().Head.Status == 500);
   }
-  SECTION("an answer without the server's stamp is none") {
+  SECTION("an answer without the server's stamp is invalid") {
     it.request("once");
     const auto sent = it.only<SendUpstream>();
     it.head(sent, 200, {{"id", "r1"}});
     CHECK(it.take<CancelUpstream>().size() == 1);
     CHECK(it.only<ReplyWhole>().Head.Status == 502);
   }
-  SECTION("time ran out while a server had it") {
+  SECTION("the deadline passed while a server had it") {
     it.request("once", 1000);
     it.only<SendUpstream>();
     it.Controller.tick(Now + 1s);
@@ -68,7 +69,8 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE("a refusal that promises not run is given only when that is true") {
+TEST_CASE("a request that the server did not run is refused with 503 and a "
+          "retry-after") {
   ForwardUnderTest it;
   it.request("once");
   const auto sent = it.only<SendUpstream>();
@@ -79,17 +81,17 @@
   CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) > 0);
 }
 
-TEST_CASE("a request that comes before the routing document waits for it") {
+TEST_CASE("a request is deferred until the routing document arrives") {
   ForwardUnderTest it(/*withTable=*/false);
   it.request("safe");
   it.Controller.tick(Now + 500ms);
   CHECK(it.take<ReplyWhole>().empty());
-  SECTION("and is sent when it is there") {
+  SECTION("and is sent once the document is in force") {
     it.setTable();
     it.Controller.tick(Now + 510ms);
     it.only<SendUpstream>();
   }
-  SECTION("but not past a third of its caller's time") {
+  SECTION("but for at most a third of its caller's timeout") {
     it.Controller.tick(Now + 1600ms);
     CHECK(it.take<ReplyWhole>().empty());
     it.Controller.tick(Now + 1700ms);
@@ -98,7 +100,7 @@
     CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) > 0);
     CHECK(it.Controller.idle());
   }
-  SECTION("unless its caller leaves") {
+  SECTION("until its caller closes the connection") {
     it.Controller.onCallerGone(Now + 500ms, 1);
     it.setTable();
     it.Controller.tick(Now + 600ms);
@@ -107,7 +109,7 @@
   }
 }
 
-TEST_CASE("a request waits while not all servers are known") {
+TEST_CASE("a request is deferred while not all servers are known") {
   ForwardUnderTest it;
   it.Controller.onMembers(Now, {.Full = true});
   it.Controller.onMembers(
@@ -122,7 +124,7 @@
   CHECK(it.only<SendUpstream>().Address == "1.0.0.9:80");
 }
 
-TEST_CASE("a request waits while all engines are out of service") {
+TEST_CASE("a request is deferred while all engines are out of service") {
   ForwardUnderTest it;
   it.request("flow");
   it.refuse(Now, RefusalReason::BackendDown);
@@ -134,7 +136,7 @@
   it.permit();
 }
 
-TEST_CASE("a request that the engines are too busy for is refused at once") {
+TEST_CASE("a request is refused at once when an engine's queue is full") {
   ForwardUnderTest it;
   it.request("flow");
   it.refuse(Now, RefusalReason::BackendDown);
@@ -142,7 +144,7 @@
   CHECK(it.only<ReplyWhole>().Head.Status == 503);
 }
 
-TEST_CASE("a server that can't be reached costs no try") {
+TEST_CASE("a failed connection doesn't count as a send") {
   ForwardUnderTest it;
   it.request("once");
   const auto first = it.only<SendUpstream>();
@@ -154,7 +156,7 @@
   CHECK(it.only<ReplyWhole>().Head.Status == 200);
 }
 
-TEST_CASE("an idempotent request goes to a second server, and no further") {
+TEST_CASE("an idempotent request goes to a second server, but not to a third") {
   ForwardUnderTest it;
   it.request("safe");
   const auto first = it.only<SendUpstream>();
@@ -174,7 +176,7 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE("sends to a second server stay within the budget") {
+TEST_CASE("retries on a second server stay within the budget") {
   ForwardUnderTest it;
   int again = 0;
   constexpr int Requests = 200;
@@ -194,7 +196,7 @@
   CHECK(again <= Requests * 15 / 100 + 4);
 }
 
-TEST_CASE("the entries share what may be saved up of further sends") {
+TEST_CASE("the entries share the reserve of the retry budget") {
   RetryBudget budget(0, 4);
   const auto left = [&] {
     int n = 0;
@@ -204,7 +206,8 @@
   };
   budget.setReserve(10);
   CHECK(left() == 10);
-  // Fewer entries again: what was spent stays spent but for the difference.
+  // A reserve that shrinks and grows again adds only the difference to what is
+  // left.
   budget.setReserve(10);
   CHECK(left() == 0);
   budget.setReserve(4);
@@ -212,15 +215,15 @@
   CHECK(left() == 1);
 }
 
-TEST_CASE("a caller that leaves takes its work along") {
+TEST_CASE("a request is cancelled when its caller closes the connection") {
   ForwardUnderTest it;
-  SECTION("from a server") {
+  SECTION("while a server has it") {
     it.request("safe");
     const auto sent = it.only<SendUpstream>();
     it.Controller.onCallerGone(Now, 1);
     CHECK(it.only<CancelUpstream>().Attempt == sent.Attempt);
   }
-  SECTION("from an agent") {
+  SECTION("while an agent is asked for a permit") {
     it.request("flow");
     it.only<SendToAgent>();
     it.Controller.onCallerGone(Now, 1);
@@ -231,7 +234,8 @@
   CHECK(it.Controller.idle());
 }
 
-TEST_CASE("events go out as they come, and a stream goes on elsewhere") {
+TEST_CASE("events are forwarded as they arrive, and a stream resumes on "
+          "another engine") {
   ForwardUnderTest it;
   it.request("flow");
   const auto first = it.permit();
@@ -240,7 +244,7 @@
   it.body(first, "id: 1\ndata: a\n\nid: 2\nda");
   CHECK(it.only<ReplyHead>().Head.Status == 200);
   CHECK(it.only<ReplyPiece>().Bytes == "id: 1\ndata: a\n\n");
-  // The agent learns at once that its engine has begun.
+  // The agent is notified at once that its engine has begun.
   CHECK(std::get<AttemptBegan>(it.only<SendToAgent>().Content).Attempt ==
         first.Attempt);
   it.end(first, Broke);
@@ -262,7 +266,7 @@
   CHECK(it.take<ReplyHead>().empty());
 }
 
-TEST_CASE("a stream that may not go on never looks complete") {
+TEST_CASE("a stream that breaks off and may not resume never looks complete") {
   ForwardUnderTest it;
   it.request("brook");
   const auto sent = it.permit();
@@ -274,7 +278,7 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE("an agent that says nothing is passed by") {
+TEST_CASE("an agent that doesn't answer in time is skipped") {
   ForwardUnderTest it;
   it.request("flow");
   const auto first = it.only<SendToAgent>();
@@ -285,7 +289,7 @@
   REQUIRE(sent.size() == 2);
   CHECK(std::holds_alternative<CancelAttempt>(sent[0].Content));
   CHECK(sent[1].Host != first.Host);
-  // Its permit comes late: the place is given back.
+  // Its permit arrives too late: the place is released.
   const auto execute = std::get<ExecuteRequest>(first.Content);
   it.Controller.attempts().onPermit(Now, first.Host, {execute.Attempt, {}});
   const auto back = it.only<SendToAgent>();
@@ -293,7 +297,7 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE("what can't be served gets its final answer at once") {
+TEST_CASE("a request that can't be served gets its final answer at once") {
   ForwardUnderTest it;
   SECTION("an unknown route") {
     it.request("nothing");
@@ -304,13 +308,14 @@
                             NoBody);
     CHECK(it.only<ReplyWhole>().Head.Status == 400);
   }
-  SECTION("no routing document, and nothing known of the caller's time") {
+  SECTION("no routing document, and the caller names no timeout") {
     it.Controller.setTable(nullptr);
     it.Controller.onRequest(Now, 1, {"GET", "/safe/", {{"id", "r1"}}}, "",
                             NoBody);
     CHECK(it.only<ReplyWhole>().Head.Status == 503);
   }
-  SECTION("no routing document, and more wait already than may") {
+  SECTION(
+      "no routing document, and the maximum of requests is deferred already") {
     it.Controller.setTable(nullptr);
     const std::size_t most = ForwardOptions{}.MostHeld;
     for (std::uint64_t key = 2; key < most + 2; ++key)
@@ -321,7 +326,7 @@
     it.request("safe");
     CHECK(it.only<ReplyWhole>().Head.Status == 503);
   }
-  SECTION("all servers leave") {
+  SECTION("all servers are leaving or gone") {
     MemberRecord leaving = server("p1", "plain", "1.0.0.1:80");
     leaving.Leaving = true;
     it.Controller.onMembers(Now, {.Members = {leaving}});
@@ -337,7 +342,7 @@
   }
 }
 
-TEST_CASE("a new leader that names nobody yet takes no server away") {
+TEST_CASE("an incomplete member list of a new leader removes no server") {
   ForwardUnderTest it;
   it.Controller.onMembers(Now, {.Full = true});
   it.request("safe");
@@ -349,7 +354,7 @@
   CHECK(it.only<ReplyWhole>().Head.Status == 503);
 }
 
-TEST_CASE("a named version is the one that is asked for") {
+TEST_CASE("the agent is asked for the live version of the adapter") {
   ForwardUnderTest it;
   it.Configuration.Named = 7;
   it.request("flow");
@@ -358,9 +363,9 @@
         AdapterKey{AdapterName("m/x"), 7});
 }
 
-TEST_CASE("a request is taken from a server whose host has gone") {
+TEST_CASE("a request is taken from a server whose host is lost") {
   ForwardUnderTest it;
-  SECTION("if it may run elsewhere") {
+  SECTION("if it may be repeated") {
     it.request("flow");
     const auto sent = it.permit();
     const HostName agent(sent.Address == "1.0.0.3:80" ? "a1" : "a2");
@@ -371,7 +376,7 @@
     CHECK(it.only<CancelUpstream>().Attempt == sent.Attempt);
     CHECK(it.take<SendToAgent>().back().Host != agent);
   }
-  SECTION("but not if it still sends") {
+  SECTION("but not if the server still sends") {
     it.request("flow");
     const auto sent = it.permit();
     const HostName agent(sent.Address == "1.0.0.3:80" ? "a1" : "a2");
@@ -381,7 +386,7 @@
     it.Controller.tick(Now + 2s);
     CHECK(it.take<CancelUpstream>().empty());
   }
-  SECTION("and not if it may run once only") {
+  SECTION("and not if it may run only once") {
     it.request("brook");
     const auto sent = it.permit();
     const HostName agent(sent.Address == "1.0.0.3:80" ? "a1" : "a2");
@@ -391,7 +396,8 @@
   }
 }
 
-TEST_CASE("a host may run servers of several services") {
+TEST_CASE("a request for an engine goes to the engine, although its host runs "
+          "other servers, too") {
   ForwardUnderTest it;
   it.Controller.onMembers(Now,
                           {.Members = {server("p3", "plain", "1.0.0.3:81"),
@@ -400,7 +406,7 @@
   CHECK(it.permit().Address.ends_with(":80"));
 }
 
-TEST_CASE("an engine that fails more than its siblings is passed by") {
+TEST_CASE("an engine that fails more often than the others gets no requests") {
   ForwardUnderTest it;
   const auto failOn = [&](const std::string &address) {
     it.request("brook");
@@ -430,9 +436,11 @@
   CHECK(toBad == 0);
 }
 
-// An entry that followed a replica without power said for four seconds that a
-// route doesn't exist which had been accepted.
-TEST_CASE("that there is no route is said by one who knows the newest state") {
+// An entry that follows a replica without power has an outdated configuration
+// for some seconds (four were observed) and must not answer 404 for a route
+// that has been accepted since.
+TEST_CASE("an entry answers 404 for a missing route only if its configuration "
+          "is the newest") {
   ForwardUnderTest it;
   it.request("unheard-of");
   CHECK(it.only<ReplyWhole>().Head.Status == 404);
@@ -440,12 +448,12 @@
   it.Configuration.Confirmed = false;
   it.request("unheard-of");
   CHECK(it.take<ReplyWhole>().empty());
-  SECTION("it is said as soon as that is known") {
+  SECTION("as soon as the configuration is confirmed") {
     it.Configuration.Confirmed = true;
     it.Controller.tick(Now + 200ms);
     CHECK(it.only<ReplyWhole>().Head.Status == 404);
   }
-  SECTION("a newer document may have it") {
+  SECTION("a newer document may have the route") {
     RoutingDocument document{
         .Routes = {route("unheard-of", Repeatability::Idempotent, "plain", 2)},
         .Services = {{.Name = ServiceName("plain")}}};
@@ -454,7 +462,7 @@
     it.Controller.tick(Now + 20ms);
     CHECK(it.take<SendUpstream>().size() == 1);
   }
-  SECTION("else it is refused as not run, in time to come back") {
+  SECTION("otherwise the request is refused as not run, in time for a retry") {
     it.Controller.tick(Now + 1600ms);
     it.Controller.tick(Now + 1800ms);
     CHECK(it.only<ReplyWhole>().Head.Status == 503);
@@ -468,7 +476,7 @@
   return record;
 }
 
-/// \returns the news that all of \p members have started then.
+/// \returns the update that all of \p members have started at \p start.
 MemberUpdate allStartedAt(std::uint64_t start,
                           std::vector<MemberRecord> members) {
   for (MemberRecord &it : members)
@@ -483,7 +491,7 @@
 
 } // namespace
 
-TEST_CASE("what is believed of a server is believed of one process") {
+TEST_CASE("an entry counts requests and failures by process of a server") {
   ForwardUnderTest it;
   it.Controller.onMembers(Now, plainServersStartedAt(7));
   it.request("once");
@@ -498,14 +506,14 @@
   CHECK(view->InFlight == 1);
   it.Controller.onMembers(Now, {.Members = {startedAt(view->Record, 8)}});
   CHECK(view->InFlight == 0);
-  // The end of the former one's request isn't one of the next one's.
+  // The end of the former process's request doesn't count for the new process.
   it.Controller.onMembers(Now, {.Members = {startedAt(view->Record, 8)}});
   it.end(first, Broke);
   CHECK(view->InFlight == 0);
   CHECK(view->FailureShare == 0);
 }
 
-TEST_CASE("what was sent to a server's former process is sent again") {
+TEST_CASE("a request sent to a server's former process is sent again") {
   ForwardUnderTest it;
   it.Controller.onMembers(Now, plainServersStartedAt(7));
   it.request("safe");
@@ -522,7 +530,7 @@
   CHECK(it.only<SendUpstream>().Server != first.Server);
 }
 
-TEST_CASE("a permit names the engine's process") {
+TEST_CASE("a request for a permit names the engine's process") {
   ForwardUnderTest it;
   it.Controller.onMembers(
       Now, allStartedAt(9, {server("e1", "engines", "1.0.0.3:80"),
--- a/test/ForwardUnderTest.h
+++ b/test/ForwardUnderTest.h
@@ -36,7 +36,7 @@
 
 using testkit::PlainHeaders;
 
-/// The hash of no bytes at all.
+/// The hash of an empty body.
 inline const ContentHash NoBody = ContentHasher().finish();
 
 inline RouteSpec route(const char *name, Repeatability kind,
@@ -72,7 +72,7 @@
           .BatchCapacity = 8};
 }
 
-/// An entry before two plain servers and two engines with their agents.
+/// An entry in front of two plain servers and two engines with their agents.
 struct ForwardUnderTest {
   explicit ForwardUnderTest(bool withTable = true)
       : Controller({.Incarnation = 5, .Servers = {.Zone = ZoneName("z")}},
@@ -101,7 +101,7 @@
     Controller.setTable(
         std::make_shared<const RoutingTable>(1, std::move(document)));
   }
-  /// Refuses for the agent that was asked last.
+  /// Refuses the request on behalf of the agent that was asked last.
   void refuse(TimePoint now, RefusalReason reason) {
     const auto asked = only<SendToAgent>();
     const auto execute = std::get<ExecuteRequest>(asked.Content);
@@ -138,7 +138,8 @@
     REQUIRE(all.size() == 1);
     return all.front();
   }
-  /// Grants the permit that the entry asks for; \returns the send.
+  /// Grants the permit that the entry asks for.
+  /// \returns the command that sends the request.
   SendUpstream permit() {
     const auto asked = only<SendToAgent>();
     const auto execute = std::get<ExecuteRequest>(asked.Content);
@@ -153,7 +154,7 @@
   void body(const SendUpstream &sent, std::string_view bytes) {
     Controller.answers().onBody(Now, sent.Attempt, bytes);
   }
-  /// A server whose connection ends still lives, when it is looked at.
+  /// Ends the connection, and reports \p life when the entry checks the server.
   void end(const SendUpstream &sent, UpstreamEnding ending,
            ServerLife life = ServerLife::Lives) {
     Controller.answers().onEnd(Now, sent.Attempt, ending);
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -8,9 +8,10 @@
 
 constexpr ServerLife Ended = ServerLife::Ended;
 
-/// An entry, and the questions that it has for the replicas.
+/// An entry, and the questions that it asks the replicas.
 struct WatchfulEntry : ForwardUnderTest {
-  /// The question of this sort that the entry asks now.
+  /// \returns the last question of type T that the entry has asked since, if
+  /// any.
   template <class T> std::optional<T> question() {
     std::optional<T> found;
     for (const AskReplicas &it : take<AskReplicas>())
@@ -30,7 +31,8 @@
     Controller.quarantine().onUpdate(
         {.To = 9, .Notices = {{contentOfRequest(), state}}});
   }
-  /// The request is in progress only to be known; its end is of no interest.
+  /// Starts a request only to get its content hash, puts the content into
+  /// \p state, and cancels the request.
   void learnContent(QuarantineState state) {
     request("safe");
     tell(state);
@@ -43,7 +45,8 @@
 
 } // namespace
 
-TEST_CASE("an end of a server is reported with all that was at work there") {
+TEST_CASE("the exit of a server is reported with the requests that were in "
+          "flight there") {
   WatchfulEntry it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
@@ -60,24 +63,25 @@
   CHECK(report.Server == sent.Server);
   CHECK(report.AtWork ==
         std::vector<RequestAtWork>{{content, /*Answering=*/false, {}}});
-  // It isn't sent again before the replicas have given leave.
+  // The request isn't sent again before the replicas have granted a trial.
   CHECK(std::get<ClaimTrial>(asked[1].Question).Content == content);
   CHECK(it.take<SendUpstream>().empty());
   it.Controller.onDecision(Now, asked[1].Nonce, CommandOutcome{});
   CHECK(it.only<SendUpstream>().Server != sent.Server);
 }
 
-TEST_CASE("what is no end of a process reports nothing") {
+TEST_CASE(
+    "an answer that breaks off without a crash of the server isn't reported") {
   WatchfulEntry it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
-  SECTION("the process lives, its connection was reset") {
+  SECTION("the process runs, its connection was reset") {
     it.end(sent, Broke, ServerLife::Lives);
   }
-  SECTION("silence: a cut, or a host without power") {
+  SECTION("no reply: a network partition, or a host without power") {
     it.end(sent, Broke, ServerLife::Unknown);
   }
-  SECTION("the server had said that it leaves") {
+  SECTION("the server had announced that it is leaving") {
     MemberRecord leaving =
         server(sent.Server.Name.str().c_str(), "plain", sent.Address.c_str());
     leaving.Leaving = true;
@@ -85,7 +89,7 @@
     it.Controller.answers().onEnd(Now, sent.Attempt, Broke);
     CHECK(it.take<CheckServer>().empty());
   }
-  SECTION("it answered nonsense") {
+  SECTION("the answer was invalid") {
     it.head(sent, 200, {{"id", "r1"}});
     CHECK(it.take<CheckServer>().empty());
   }
@@ -93,15 +97,15 @@
   it.only<SendUpstream>();
 }
 
-TEST_CASE("a server that turned a connection away is looked at, too") {
+TEST_CASE("a server that turned a connection away is checked, too") {
   WatchfulEntry it;
   it.request("safe");
   it.end(it.only<SendUpstream>(), UpstreamEnding::TurnedAway, Ended);
   CHECK(it.question<ReportServerEnd>());
 }
 
-TEST_CASE("who may not be repeated has its answer before the server is looked "
-          "at") {
+TEST_CASE("a request that may not be repeated is answered before the server is "
+          "checked") {
   WatchfulEntry it;
   it.request("once");
   const auto sent = it.only<SendUpstream>();
@@ -114,12 +118,12 @@
   CHECK(report->AtWork.front().Content == content);
 }
 
-TEST_CASE("a request in quarantine has its final answer at once") {
+TEST_CASE("a request in quarantine gets its final answer at once") {
   WatchfulEntry it;
   it.learnContent(QuarantineState::Quarantined);
   it.request("safe");
   const auto reply = it.only<ReplyWhole>();
-  // It has run, under other ids: neither "not run" nor a time to come back.
+  // It has run, under other ids: neither "not run" nor a retry-after.
   CHECK(reply.Head.Status == 502);
   CHECK_FALSE(findHeader(reply.Head.Headers, "come-back"));
   CHECK(reply.Body == "quarantined\n");
@@ -128,7 +132,8 @@
   CHECK(it.Controller.idle());
 }
 
-TEST_CASE("a watched request is tried with leave, and its end is told") {
+TEST_CASE(
+    "a watched request is tried with a grant, and its outcome is reported") {
   WatchfulEntry it;
   it.learnContent(QuarantineState::Watched);
   it.request("safe");
@@ -143,56 +148,58 @@
     it.request("safe");
     it.only<SendUpstream>();
   }
-  SECTION("the server failed it, and lives") {
+  SECTION("the server answers with a failure, and its process still runs") {
     it.decide(CommandResult::Accepted);
     it.head(it.only<SendUpstream>(), 500);
     CHECK(it.question<EndTrial>()->Ending == TrialEnding::Survived);
   }
-  SECTION("the server ends: the leave goes with the report") {
+  SECTION("the server exits: the report releases the grant") {
     it.decide(CommandResult::Accepted);
     it.end(it.only<SendUpstream>(), Broke, Ended);
     CHECK(it.question<ReportServerEnd>()->AtWork.front().Holder ==
           AttemptId{5, 1});
   }
-  SECTION("its caller leaves meanwhile") {
+  SECTION("its caller leaves during the trial") {
     it.decide(CommandResult::Accepted);
     it.only<SendUpstream>();
     it.Controller.onCallerGone(Now, 1);
     CHECK(it.question<EndTrial>()->Ending == TrialEnding::Unclear);
   }
-  SECTION("its caller leaves before the leave has come") {
+  SECTION("its caller leaves before the grant arrives") {
     it.Controller.onCallerGone(Now, 1);
     CHECK(it.question<EndTrial>()->Ending == TrialEnding::NotRun);
     it.decide(CommandResult::Accepted);
     CHECK(it.take<SendUpstream>().empty());
   }
-  SECTION("it is clear meanwhile") {
+  SECTION("it was cleared in the meantime") {
     it.decide(CommandResult::NotFound);
     it.only<SendUpstream>();
   }
-  SECTION("it is in quarantine meanwhile") {
+  SECTION("it was put in quarantine in the meantime") {
     it.decide(CommandResult::Quarantined);
     CHECK(it.only<ReplyWhole>().Head.Status == 502);
   }
-  SECTION("another attempt at it is under way, until the caller has to go") {
+  SECTION("another attempt is in progress for longer than the request may be "
+          "deferred") {
     it.decide(CommandResult::InProgress);
     CHECK(it.take<ReplyWhole>().empty());
     it.Controller.tick(Now + 200ms);
     REQUIRE(it.question<ClaimTrial>());
     it.decide(CommandResult::InProgress, Now + 3s);
-    // This attempt truly hasn't run.
+    // This attempt has certainly not run.
     const auto reply = it.only<ReplyWhole>();
     CHECK(reply.Head.Status == 503);
     CHECK(findHeader(reply.Head.Headers, "come-back"));
   }
-  SECTION("the replicas say nothing") {
+  SECTION("the replicas don't decide in time") {
     it.Controller.onDecision(Now + 3s, it.Nonce, std::nullopt);
     CHECK(it.only<ReplyWhole>().Head.Status == 503);
     CHECK(it.take<SendUpstream>().empty());
   }
 }
 
-TEST_CASE("after a second end the other entries' reports are waited for") {
+TEST_CASE("after a second server exit the entry waits for the other entries' "
+          "reports") {
   WatchfulEntry it;
   it.learnContent(QuarantineState::Watched);
   it.request("safe");
@@ -206,7 +213,7 @@
   CHECK(it.question<ClaimTrial>());
 }
 
-TEST_CASE("two requests that differ in one byte aren't the same") {
+TEST_CASE("requests that differ in one byte have different contents") {
   WatchfulEntry it;
   it.learnContent(QuarantineState::Quarantined);
   const RequestHead head{
@@ -222,13 +229,14 @@
   CHECK(it.take<ReplyWhole>().empty());
 }
 
-TEST_CASE("an entry that slept asks before it sends") {
+TEST_CASE(
+    "an entry that was suspended updates its quarantine before it sends") {
   WatchfulEntry it;
   const TimePoint woken = Now + 3s;
   it.Controller.quarantine().onWake(Now);
   it.request("safe");
   CHECK(it.take<SendUpstream>().empty());
-  SECTION("until it knows what was decided meanwhile") {
+  SECTION("until it knows what was decided in the meantime") {
     it.Controller.quarantine().onKnown(Now - 1ms);
     it.Controller.tick(Now + 100ms);
     CHECK(it.take<SendUpstream>().empty());
@@ -236,13 +244,14 @@
     it.Controller.tick(Now + 200ms);
     it.only<SendUpstream>();
   }
-  SECTION("but not for long, if nobody can tell it") {
+  SECTION(
+      "but not for longer than the limit if the replicas can't be reached") {
     it.Controller.tick(Now + 400ms);
     CHECK(it.take<SendUpstream>().empty());
     it.Controller.tick(Now + 600ms);
     it.only<SendUpstream>();
   }
-  SECTION("and a permit of before is no use past the caller's time") {
+  SECTION("and a permit from before the suspension is void past the deadline") {
     it.Controller.onCallerGone(Now, 1);
     it.Controller.quarantine().onKnown(Now);
     it.request("flow", 1000);
