--- a/packages/forward/pimentofront/src/Forward/AccountController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AccountController.cpp
@@ -6,7 +6,7 @@
   return Board.Configuration.isConfirmed(now) && !Board.TableOutdated;
 }
 
-bool AccountController::mayHold(TimePoint now) const {
+bool AccountController::mayAcceptKeys(TimePoint now) const {
   return !Board.TableOutdated &&
          Board.confirmedWithin(now, Board.Options.RevocationBound);
 }
@@ -18,15 +18,15 @@
           Board.confirmedWellWithin(now, Board.Options.RevocationBound));
 }
 
-KeyVerdict AccountController::identify(TimePoint now, ForwardRequest &request) {
+KeyStatus AccountController::identify(TimePoint now, ForwardRequest &request) {
   const AccountTable &accounts = request.Table->accounts();
   if (!accounts.required() || request.Route->Public)
-    return KeyVerdict::Known;
+    return KeyStatus::Known;
   const auto &key = request.Traits.Key;
   request.Account = key ? accounts.findByKey(*key) : nullptr;
   if (request.Account)
-    return mayHold(now) ? KeyVerdict::Known : KeyVerdict::Outdated;
-  return knowsNewest(now) ? KeyVerdict::Unknown : KeyVerdict::Undecided;
+    return mayAcceptKeys(now) ? KeyStatus::Known : KeyStatus::Outdated;
+  return knowsNewest(now) ? KeyStatus::Unknown : KeyStatus::Undecided;
 }
 
 double AccountController::unitsOf(const ForwardRequest &request) const {
--- a/packages/forward/pimentofront/src/Forward/AccountController.h
+++ b/packages/forward/pimentofront/src/Forward/AccountController.h
@@ -6,7 +6,7 @@
 namespace pimentofront {
 
 /// Whether a request is admitted by its key.
-enum class KeyVerdict : std::uint8_t {
+enum class KeyStatus : std::uint8_t {
   /// Its client account is known, or the request needs none.
   Known,
   /// No account holds the key, according to the newest configuration.
@@ -38,7 +38,7 @@
   explicit AccountController(ForwardBoard &board) : Board(board) {}
 
   /// Finds the account of a request whose route is known.
-  KeyVerdict identify(TimePoint now, ForwardRequest &request);
+  KeyStatus identify(TimePoint now, ForwardRequest &request);
   /// Takes the request's units.
   /// \returns whether it may proceed; if not, a decision comes by onGrants().
   bool charge(TimePoint now, ForwardRequest &request);
@@ -60,7 +60,7 @@
 private:
   /// \returns whether a key in the copy of the configuration may still be
   /// accepted.
-  bool mayHold(TimePoint now) const;
+  bool mayAcceptKeys(TimePoint now) const;
   double unitsOf(const ForwardRequest &request) const;
 
   ForwardBoard &Board;
--- a/packages/forward/pimentofront/src/Forward/AnswerController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.cpp
@@ -9,7 +9,7 @@
 constexpr int StatusServerError = 500;
 
 /// \returns how the time until the first event was spent, for the log.
-std::string timesOf(const ForwardRequest &request) {
+std::string describeTimes(const ForwardRequest &request) {
   const auto milliseconds = [&](TimePoint at) {
     return std::to_string((at - request.ArrivedAt).count() / 1000);
   };
@@ -46,20 +46,20 @@
   if (declined) {
     Board.Commands.push_back(IgnoreUpstream{attempt});
     const bool misdirected = head.Status == StatusMisdirected;
-    Attempts.notRun(now, *request, ServerOutcome::Declined,
-                    misdirected ? ReleaseKind::NotResident
-                                : ReleaseKind::NotRun);
+    Attempts.onNotRun(now, *request, ServerOutcome::Declined,
+                      misdirected ? ReleaseKind::NotResident
+                                  : ReleaseKind::NotRun);
     return HeadVerdict::Take;
   }
   if (traits.Id.empty() || (isSuccess(head.Status) && !traits.Stamped)) {
     // The answer lacks the id or the stamp that this server sends, so its bytes
     // belong to no request.
     Board.Commands.push_back(CancelUpstream{attempt});
-    brokeOff(now, *request, /*serverMayHaveEnded=*/false);
+    brokeOff(now, *request, /*serverMayHaveExited=*/false);
     return HeadVerdict::Take;
   }
   request->Attempt->Head = std::move(head);
-  Attempts.noteMayHaveRun(*request);
+  Attempts.recordMayHaveRun(*request);
   if (request->Attempt->Head->Status < StatusServerError)
     return HeadVerdict::Take;
   // The server ran the request and failed; another one may succeed.
@@ -67,8 +67,8 @@
   if (!Attempts.mayRepeat(now, *request) || !Board.Budget.hasRoom())
     return HeadVerdict::Take;
   Board.Commands.push_back(IgnoreUpstream{attempt});
-  Attempts.endBroken(now, *request);
-  Attempts.tryAgain(now, *request);
+  Attempts.endFailedAttempt(now, *request);
+  Attempts.retryOrGiveUp(now, *request);
   return HeadVerdict::Take;
 }
 
@@ -78,7 +78,8 @@
   request.Answering = true;
   ResponseHead head = *request.Attempt->Head;
   removeConnectionHeaders(head.Headers);
-  Attempts.note(now, "answer_began", request, timesOf(request), head.Status);
+  Attempts.recordEvent(now, "answer_began", request, describeTimes(request),
+                       head.Status);
   Board.Commands.push_back(ReplyHead{request.Key, std::move(head)});
 }
 
@@ -89,7 +90,7 @@
     return;
   if (!request.Attempt->FirstEventAt) {
     request.Attempt->FirstEventAt = now;
-    Attempts.noteBegan(request);
+    Attempts.notifyBegan(request);
   }
   beginAnswer(now, request);
   Board.Commands.push_back(ReplyPiece{request.Key, std::move(events)});
@@ -100,7 +101,7 @@
   ForwardRequest *request = Board.find(attempt);
   if (!request || !request->Attempt->Head)
     return;
-  request->Attempt->HeardAt = now;
+  request->Attempt->LastReceivedAt = now;
   if (isStream(*request))
     return onStreamBytes(now, *request, bytes);
   if (request->Answering && request->Route->Kind == Repeatability::Stream)
@@ -109,13 +110,13 @@
     Board.Commands.push_back(ReplyPiece{request->Key, std::string(bytes)});
     return;
   }
-  std::string &held = request->Attempt->Held;
-  held += bytes;
-  if (held.size() <= Board.Options.HoldBytes)
+  std::string &buffered = request->Attempt->BufferedBody;
+  buffered += bytes;
+  if (buffered.size() <= Board.Options.AnswerBufferLimit)
     return;
   beginAnswer(now, *request);
   Board.Commands.push_back(
-      ReplyPiece{request->Key, std::exchange(held, std::string())});
+      ReplyPiece{request->Key, std::exchange(buffered, std::string())});
 }
 
 void AnswerController::complete(TimePoint now, ForwardRequest &request) {
@@ -123,20 +124,22 @@
   const bool stream = isStream(request);
   if (request.Answering && !stream &&
       request.Route->Kind == Repeatability::Stream)
-    return brokeOff(now, request, /*serverMayHaveEnded=*/false);
-  Attempts.note(now, "request_answered", request, {}, status);
+    return brokeOff(now, request, /*serverMayHaveExited=*/false);
+  Attempts.recordEvent(now, "request_answered", request, {}, status);
   Quarantine.onSurvived(request);
   if (stream)
-    request.Attempt->Held = request.Events.partial();
+    request.Attempt->BufferedBody = request.Events.partial();
   if (request.Answering) {
-    if (stream && !request.Attempt->Held.empty())
-      Board.Commands.push_back(ReplyPiece{request.Key, request.Attempt->Held});
+    if (stream && !request.Attempt->BufferedBody.empty())
+      Board.Commands.push_back(
+          ReplyPiece{request.Key, request.Attempt->BufferedBody});
     Board.Commands.push_back(ReplyEnd{request.Key});
   } else {
     ResponseHead head = *request.Attempt->Head;
     removeConnectionHeaders(head.Headers);
-    Board.Commands.push_back(ReplyWhole{request.Key, std::move(head),
-                                        std::move(request.Attempt->Held)});
+    Board.Commands.push_back(
+        ReplyWhole{request.Key, std::move(head),
+                   std::move(request.Attempt->BufferedBody)});
   }
   const bool failed = status >= StatusServerError;
   Attempts.endAttempt(now, request,
@@ -146,19 +149,19 @@
 }
 
 void AnswerController::brokeOff(TimePoint now, ForwardRequest &request,
-                                bool serverMayHaveEnded) {
-  Attempts.note(now, "attempt_broke_off", request);
-  const bool checked = serverMayHaveEnded && Quarantine.checkServer(request);
-  Attempts.endBroken(now, request);
+                                bool serverMayHaveExited) {
+  Attempts.recordEvent(now, "attempt_broke_off", request);
+  const bool checked = serverMayHaveExited && Quarantine.checkServer(request);
+  Attempts.endFailedAttempt(now, request);
   // A request that can't be sent again gets its final answer without waiting
   // for the check.
   if (!checked || !Attempts.mayRepeat(now, request))
-    Attempts.tryAgain(now, request);
+    Attempts.retryOrGiveUp(now, request);
 }
 
 void AnswerController::onServerLost(TimePoint now, ForwardRequest &request) {
   Board.Commands.push_back(CancelUpstream{request.Attempt->Id});
-  brokeOff(now, request, /*serverMayHaveEnded=*/false);
+  brokeOff(now, request, /*serverMayHaveExited=*/false);
 }
 
 void AnswerController::onEnd(TimePoint now, const AttemptId &attempt,
@@ -167,13 +170,13 @@
   if (!request)
     return;
   if (ending == UpstreamEnding::NotSent)
-    return Attempts.notRun(now, *request, ServerOutcome::Unreachable,
-                           ReleaseKind::NotRun);
+    return Attempts.onNotRun(now, *request, ServerOutcome::Unreachable,
+                             ReleaseKind::NotRun);
   if (ending == UpstreamEnding::Complete && request->Attempt->Head)
     return complete(now, *request);
   if (ending == UpstreamEnding::TurnedAway)
     Board.Servers.noteTurnedAway(now, request->Attempt->Server);
-  brokeOff(now, *request, /*serverMayHaveEnded=*/true);
+  brokeOff(now, *request, /*serverMayHaveExited=*/true);
 }
 
 } // namespace pimentofront
--- a/packages/forward/pimentofront/src/Forward/AnswerController.h
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.h
@@ -50,10 +50,10 @@
                      std::string_view bytes);
   void beginAnswer(TimePoint now, ForwardRequest &request);
   void complete(TimePoint now, ForwardRequest &request);
-  /// The answer is incomplete or invalid. \p serverMayHaveEnded: the connection
-  /// ended, so the server's process may have exited.
+  /// The answer is incomplete or invalid. \p serverMayHaveExited: the
+  /// connection ended, so the server's process may have exited.
   void brokeOff(TimePoint now, ForwardRequest &request,
-                bool serverMayHaveEnded);
+                bool serverMayHaveExited);
 
   ForwardBoard &Board;
   AttemptController &Attempts;
--- a/packages/forward/pimentofront/src/Forward/AttemptController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.cpp
@@ -14,7 +14,7 @@
 constexpr int StatusGatewayTimeout = 504;
 
 /// \returns a hash of all parts but the last, which is specific to the request.
-std::uint64_t prefixOf(const std::vector<PromptPart> &parts) {
+std::uint64_t hashPrefix(const std::vector<PromptPart> &parts) {
   std::uint64_t prefix = 0;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i)
     prefix = stableHash(
@@ -33,7 +33,7 @@
 }
 
 /// \returns the data behind a request's refusal or failure, for the log.
-std::string inputsOf(TimePoint now, const ForwardRequest &request) {
+std::string describeState(TimePoint now, const ForwardRequest &request) {
   if (!request.Route)
     return {};
   const auto left = (request.Deadline - now).count() / 1000;
@@ -41,7 +41,7 @@
          ", agents that declined " + std::to_string(request.Tried.size()) +
          ", unreachable " + std::to_string(request.Unreachable) + ", " +
          std::to_string(left) + " ms left, table of revision " +
-         std::to_string(request.Table->revision()) + request.Grounds;
+         std::to_string(request.Table->revision()) + request.RefusalDetail;
 }
 
 /// \returns the HTTP status for a request without an answer. 503 guarantees
@@ -78,9 +78,9 @@
   return Names[static_cast<std::size_t>(failure)];
 }
 
-void AttemptController::note(TimePoint now, const char *name,
-                             const ForwardRequest &request, std::string detail,
-                             int status, bool lost) {
+void AttemptController::recordEvent(TimePoint now, const char *name,
+                                    const ForwardRequest &request,
+                                    std::string detail, int status, bool lost) {
   Board.Events.push_back(
       {.Name = name,
        .Request = request.Traits.Id,
@@ -101,21 +101,21 @@
 void AttemptController::next(TimePoint now, ForwardRequest &request) {
   if (now >= request.Deadline)
     return giveUp(now, request, ForwardFailure::TimedOut);
-  goOn(now, request, Quarantine.askLeave(now, request));
+  proceed(now, request, Quarantine.decideSend(now, request));
 }
 
-void AttemptController::goOn(TimePoint now, ForwardRequest &request,
-                             SendLeave leave) {
-  switch (leave) {
-  case SendLeave::Asked:
+void AttemptController::proceed(TimePoint now, ForwardRequest &request,
+                                SendDecision decision) {
+  switch (decision) {
+  case SendDecision::Asked:
     return;
-  case SendLeave::NotKnown:
-    return holdOrGiveUp(now, request, ForwardFailure::NoLeave);
-  case SendLeave::OnTrial:
-    return holdOrGiveUp(now, request, ForwardFailure::OnTrial);
-  case SendLeave::Quarantined:
+  case SendDecision::Undecided:
+    return deferOrGiveUp(now, request, ForwardFailure::TrialUndecided);
+  case SendDecision::TrialInProgress:
+    return deferOrGiveUp(now, request, ForwardFailure::TrialInProgress);
+  case SendDecision::Quarantined:
     return giveUp(now, request, ForwardFailure::Quarantined);
-  case SendLeave::Granted:
+  case SendDecision::Granted:
     return choose(now, request);
   }
 }
@@ -150,29 +150,30 @@
   if (server)
     return send(now, request, *server);
   if (paced.empty())
-    return noneTakes(now, request);
+    return handleNoServer(now, request);
   awaitPermit(now, request, paced);
 }
 
 void AttemptController::awaitPermit(TimePoint now, ForwardRequest &request,
                                     const std::vector<ServerProcess> &paced) {
-  const auto chanceOf = [&](const ServerProcess &it) {
+  const auto nextChanceOf = [&](const ServerProcess &it) {
     return Board.Permits.nextChance(now, it);
   };
-  const TimePoint chance =
-      chanceOf(*std::ranges::min_element(paced, {}, chanceOf));
+  const TimePoint earliest =
+      nextChanceOf(*std::ranges::min_element(paced, {}, nextChanceOf));
   request.LastRefusal = RefusalReason::RateLimited;
   // Each server grants one permit at a time, so no more requests than servers
   // are deferred for permits.
-  const auto waiting = std::ranges::count_if(Board.Held, [&](const auto key) {
-    return Board.Requests.at(key).Service == request.Service;
-  });
-  if (chance < Holds.limitOf(request) &&
-      static_cast<std::size_t>(waiting) < paced.size()) {
-    holdOrGiveUp(now, request, ForwardFailure::Declined);
-    return Holds.wakeAt(request.Key, chance);
+  const auto deferred =
+      std::ranges::count_if(Board.Deferred, [&](const auto key) {
+        return Board.Requests.at(key).Service == request.Service;
+      });
+  if (earliest < Deferrals.deferLimit(request) &&
+      static_cast<std::size_t>(deferred) < paced.size()) {
+    deferOrGiveUp(now, request, ForwardFailure::Declined);
+    return Deferrals.retryAt(request.Key, earliest);
   }
-  request.ComeBack = std::max(request.ComeBack, chance - now);
+  request.ComeBack = std::max(request.ComeBack, earliest - now);
   giveUp(now, request, ForwardFailure::Declined);
 }
 
@@ -180,31 +181,32 @@
   const RouteQuery query{.Key = request.Adapter,
                          .BaseModel = request.Service.str(),
                          .Tried = request.Tried,
-                         .Prefix = prefixOf(request.Traits.Parts),
+                         .Prefix = hashPrefix(request.Traits.Parts),
                          .Target = firstEventDue(now, request),
                          .Zones = request.Zones};
   const std::optional<Route> route =
       Routing.choose(now, query, Board.Servers.agents());
   if (route)
     return askAgent(now, request, *route);
-  noneTakes(now, request);
+  handleNoServer(now, request);
 }
 
-void AttemptController::noneTakes(TimePoint now, ForwardRequest &request) {
-  if (const auto over =
+void AttemptController::handleNoServer(TimePoint now, ForwardRequest &request) {
+  if (const auto backoffEnd =
           Board.Servers.restOver(now, request.Service, request.Zones)) {
-    request.ComeBack = std::max(request.ComeBack, *over - now);
-    return giveUp(now, request, ForwardFailure::ServersRest);
+    request.ComeBack = std::max(request.ComeBack, *backoffEnd - now);
+    return giveUp(now, request, ForwardFailure::ServersBackingOff);
   }
-  const bool any = Board.Servers.serves(request.Service, request.Zones);
-  if (!any && request.Zones.isRestricted() &&
+  const bool hasServers = Board.Servers.serves(request.Service, request.Zones);
+  if (!hasServers && request.Zones.isRestricted() &&
       Board.Servers.serves(request.Service))
     return giveUp(now, request, ForwardFailure::NoRegion);
   const ForwardFailure why =
-      any ? ForwardFailure::Declined : ForwardFailure::NoServer;
-  const bool mayPass = any ? isOutage(request) : !Board.Servers.isComplete();
-  if (mayPass)
-    return holdOrGiveUp(now, request, why);
+      hasServers ? ForwardFailure::Declined : ForwardFailure::NoServer;
+  const bool mayRecover =
+      hasServers ? isOutage(request) : !Board.Servers.isComplete();
+  if (mayRecover)
+    return deferOrGiveUp(now, request, why);
   giveUp(now, request, why);
 }
 
@@ -216,11 +218,11 @@
   return request.ToEngine && std::ranges::all_of(request.Tried, outOfService);
 }
 
-void AttemptController::holdOrGiveUp(TimePoint now, ForwardRequest &request,
-                                     ForwardFailure why) {
-  if (!Holds.hold(now, request))
+void AttemptController::deferOrGiveUp(TimePoint now, ForwardRequest &request,
+                                      ForwardFailure why) {
+  if (!Deferrals.defer(now, request))
     return giveUp(now, request, why);
-  note(now, "request_held", request, forwardFailureName(why));
+  recordEvent(now, "request_held", request, forwardFailureName(why));
   // Agents and servers that refused it may be available again at the next try.
   request.Tried.clear();
   request.Avoid.clear();
@@ -318,7 +320,7 @@
   ForwardRequest *request = find(message.Attempt, agent);
   if (!request)
     return;
-  request->Attempt->Heard = true;
+  request->Attempt->AgentAnswered = true;
   Routing.learn(request->Adapter, agent, true);
 }
 
@@ -335,28 +337,28 @@
   // A process that was suspended may receive permits granted before.
   if (now >= request->Deadline)
     return giveUp(now, *request, ForwardFailure::TimedOut);
-  request->Attempt->Heard = true;
+  request->Attempt->AgentAnswered = true;
   Routing.learn(request->Adapter, agent, true);
   ServerView *server = Board.Servers.beside(agent);
-  const bool rests =
+  const bool backingOff =
       server &&
       Board.Servers.feedbackOf(server->Record.process()).isResting(now);
-  const bool lapsed = message.Pace > Duration::zero() &&
-                      request->Attempt->LongestStop > message.Pace;
-  if (server && !rests && !lapsed && !mayMissEvacuation(now)) {
+  const bool expired = message.Pace > Duration::zero() &&
+                       request->Attempt->LongestStall > message.Pace;
+  if (server && !backingOff && !expired && !mayMissEvacuation(now)) {
     const std::string changes =
         Board.Servers.noteLimit(now, server->Record.process(), message.Limit);
     if (!changes.empty())
-      note(now, "server_feedback", *request,
-           changes + ", reported by agent " + agent.str());
+      recordEvent(now, "server_feedback", *request,
+                  changes + ", reported by agent " + agent.str());
     return send(now, *request, *server);
   }
-  notRun(now, *request, ServerOutcome::Declined, ReleaseKind::NotRun);
+  onNotRun(now, *request, ServerOutcome::Declined, ReleaseKind::NotRun);
 }
 
 void AttemptController::onStop(Duration gap) {
   for (const auto &[attempt, key] : Board.Attempts) {
-    Duration &longest = Board.Requests.at(key).Attempt->LongestStop;
+    Duration &longest = Board.Requests.at(key).Attempt->LongestStall;
     longest = std::max(longest, gap);
   }
 }
@@ -372,7 +374,7 @@
   }
   for (const std::uint64_t key : waiting) {
     ForwardRequest &request = Board.Requests.at(key);
-    note(now, "zone_left", request, request.Attempt->Agent.str());
+    recordEvent(now, "zone_left", request, request.Attempt->Agent.str());
     cancel(now, request);
     next(now, request);
   }
@@ -399,12 +401,11 @@
   next(now, *request);
 }
 
-void AttemptController::passBySilentAgent(TimePoint now,
-                                          ForwardRequest &request) {
+void AttemptController::skipAgent(TimePoint now, ForwardRequest &request) {
   const ForwardAttempt &attempt = *request.Attempt;
-  note(now, "agent_silent", request, attempt.Agent.str());
+  recordEvent(now, "agent_silent", request, attempt.Agent.str());
   Board.Servers.suspendAgent(now, attempt.Agent);
-  suspect(now, attempt.Agent);
+  markSuspected(now, attempt.Agent);
   request.Tried.push_back({attempt.Agent,
                            RefusalReason::BackendDown,
                            {},
@@ -414,7 +415,7 @@
 }
 
 void AttemptController::onAgentLost(TimePoint now, const HostName &agent) {
-  suspect(now, agent);
+  markSuspected(now, agent);
   std::vector<std::uint64_t> waiting;
   for (const auto &[attempt, key] : Board.Attempts) {
     const ForwardRequest &request = Board.Requests.at(key);
@@ -422,10 +423,10 @@
       waiting.push_back(key);
   }
   for (const std::uint64_t key : waiting)
-    passBySilentAgent(now, Board.Requests.at(key));
+    skipAgent(now, Board.Requests.at(key));
 }
 
-void AttemptController::suspect(TimePoint now, const HostName &agent) {
+void AttemptController::markSuspected(TimePoint now, const HostName &agent) {
   for (const auto &[attempt, key] : Board.Attempts) {
     ForwardAttempt &it = *Board.Requests.at(key).Attempt;
     if (it.Agent == agent && it.Sent)
@@ -437,7 +438,8 @@
   for (const auto &[id, key] : Board.Attempts) {
     ForwardAttempt &it = *Board.Requests.at(key).Attempt;
     const ServerView *server = Board.Servers.find(it.Server.Name);
-    const bool suspected = it.SuspectedAt > std::max(it.SentAt, it.HeardAt);
+    const bool suspected =
+        it.SuspectedAt > std::max(it.SentAt, it.LastReceivedAt);
     if (it.Sent && !suspected && server &&
         !maybeSame(server->Record.process(), it.Server))
       it.SuspectedAt = now;
@@ -455,7 +457,7 @@
 // Ends of attempts and requests
 //===----------------------------------------------------------------------===//
 
-void AttemptController::tellAgent(const HostName &agent, Message message) {
+void AttemptController::notifyAgent(const HostName &agent, Message message) {
   const auto it = Board.Servers.agents().find(agent);
   if (it != Board.Servers.agents().end())
     Board.Commands.push_back(
@@ -467,7 +469,7 @@
   const Duration firstEvent = attempt.FirstEventAt
                                   ? *attempt.FirstEventAt - attempt.SentAt
                                   : Duration::zero();
-  tellAgent(attempt.Agent, AttemptReleased{attempt.Id, kind, firstEvent});
+  notifyAgent(attempt.Agent, AttemptReleased{attempt.Id, kind, firstEvent});
 }
 
 void AttemptController::noteFeedback(TimePoint now,
@@ -479,16 +481,16 @@
   const std::string changes =
       servers.noteFeedback(now, attempt.Server, feedback, attempt.SentAt);
   if (!changes.empty())
-    note(now, "server_feedback", request, changes);
-  const auto word = feedback.limitWord(now, attempt.SentAt);
-  if (word && (word->Named || wasLimited))
-    tellAgent(attempt.Agent, RateLimitSeen{attempt.Id, *word});
+    recordEvent(now, "server_feedback", request, changes);
+  const auto limitReport = feedback.limitWord(now, attempt.SentAt);
+  if (limitReport && (limitReport->Named || wasLimited))
+    notifyAgent(attempt.Agent, RateLimitSeen{attempt.Id, *limitReport});
 }
 
-void AttemptController::noteBegan(const ForwardRequest &request) {
+void AttemptController::notifyBegan(const ForwardRequest &request) {
   const ForwardAttempt &attempt = *request.Attempt;
-  tellAgent(attempt.Agent,
-            AttemptBegan{attempt.Id, *attempt.FirstEventAt - attempt.SentAt});
+  notifyAgent(attempt.Agent,
+              AttemptBegan{attempt.Id, *attempt.FirstEventAt - attempt.SentAt});
 }
 
 void AttemptController::endAttempt(TimePoint now, ForwardRequest &request,
@@ -511,7 +513,7 @@
     return endAttempt(now, request, ServerOutcome::Declined,
                       ReleaseKind::BrokeOff);
   }
-  tellAgent(attempt.Agent, CancelAttempt{attempt.Id});
+  notifyAgent(attempt.Agent, CancelAttempt{attempt.Id});
   Board.Attempts.erase(attempt.Id);
   request.Attempt.reset();
 }
@@ -520,10 +522,11 @@
   return request.Sends < request.Route->MaxServers;
 }
 
-void AttemptController::notRun(TimePoint now, ForwardRequest &request,
-                               ServerOutcome outcome, ReleaseKind kind) {
-  note(now, "attempt_not_run", request,
-       outcome == ServerOutcome::Unreachable ? "unreachable" : "declined");
+void AttemptController::onNotRun(TimePoint now, ForwardRequest &request,
+                                 ServerOutcome outcome, ReleaseKind kind) {
+  recordEvent(now, "attempt_not_run", request,
+              outcome == ServerOutcome::Unreachable ? "unreachable"
+                                                    : "declined");
   const HostName agent = request.Attempt->Agent;
   const bool reached =
       request.Attempt->Sent && outcome != ServerOutcome::Unreachable;
@@ -552,14 +555,15 @@
          now < request.Deadline && hasServersLeft(request);
 }
 
-void AttemptController::tryAgain(TimePoint now, ForwardRequest &request) {
+void AttemptController::retryOrGiveUp(TimePoint now, ForwardRequest &request) {
   if (!mayRepeat(now, request) || !Board.Budget.take())
     return giveUp(now, request, ForwardFailure::BrokeOff);
-  note(now, "request_sent_again", request);
+  recordEvent(now, "request_sent_again", request);
   next(now, request);
 }
 
-void AttemptController::endBroken(TimePoint now, ForwardRequest &request) {
+void AttemptController::endFailedAttempt(TimePoint now,
+                                         ForwardRequest &request) {
   request.MayHaveRun = true;
   Accounts.onMayHaveRun(request);
   request.Events.restart();
@@ -573,16 +577,16 @@
 }
 
 std::optional<Duration>
-AttemptController::comeBackOf(const ForwardRequest &request,
-                              ForwardFailure why) {
+AttemptController::retryAfterOf(const ForwardRequest &request,
+                                ForwardFailure why) {
   if (why == ForwardFailure::Quarantined || why == ForwardFailure::UnknownKey)
     return std::nullopt;
-  const Duration least =
+  const Duration minDelay =
       std::max(request.ComeBack, Board.Options.LeastComeBack);
   // The ledger has already spread the retries of refused callers.
   if (why == ForwardFailure::OverAllotment)
-    return least;
-  return Board.Jitter.jitter(least);
+    return minDelay;
+  return Board.Jitter.jitter(minDelay);
 }
 
 void AttemptController::giveUp(TimePoint now, ForwardRequest &request,
@@ -593,15 +597,15 @@
   std::string detail = forwardFailureName(why);
   if (request.LastRefusal != RefusalReason::None)
     detail += std::string(", ") + refusalReasonName(request.LastRefusal);
-  detail += inputsOf(now, request);
-  note(now, "request_lost", request, detail, status, /*lost=*/true);
+  detail += describeState(now, request);
+  recordEvent(now, "request_lost", request, detail, status, /*lost=*/true);
   Board.Events.back().Reason = forwardFailureName(why);
   cancel(now, request);
   if (request.Answering) {
     Board.Commands.push_back(ReplyAbort{request.Key});
     return finish(now, request);
   }
-  const std::optional<Duration> comeBack = comeBackOf(request, why);
+  const std::optional<Duration> comeBack = retryAfterOf(request, why);
   ResponseHead head{.Status = status,
                     .Headers =
                         Board.Codec.refusalHeaders(request.Traits, comeBack)};
@@ -616,7 +620,7 @@
   Accounts.onFinished(now, request);
   if (request.Attempt)
     Board.Attempts.erase(request.Attempt->Id);
-  Board.Held.erase(request.Key);
+  Board.Deferred.erase(request.Key);
   Board.Requests.erase(request.Key);
 }
 
--- a/packages/forward/pimentofront/src/Forward/AttemptController.h
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.h
@@ -15,15 +15,15 @@
 public:
   /// \param routing chooses among agents; outlives the controller.
   AttemptController(ForwardBoard &board, AccountController &accounts,
-                    HoldController &holds, QuarantineController &quarantine,
+                    HoldController &deferrals, QuarantineController &quarantine,
                     RoutingPolicy &routing)
-      : Board(board), Accounts(accounts), Holds(holds), Quarantine(quarantine),
-        Routing(routing) {}
+      : Board(board), Accounts(accounts), Deferrals(deferrals),
+        Quarantine(quarantine), Routing(routing) {}
 
   /// Starts the next attempt at the request, or gives the request up.
   void next(TimePoint now, ForwardRequest &request);
   /// Continues according to the decision on whether the request may be sent.
-  void goOn(TimePoint now, ForwardRequest &request, SendLeave leave);
+  void proceed(TimePoint now, ForwardRequest &request, SendDecision decision);
   void onAdmitted(TimePoint now, const HostName &agent,
                   const AttemptAdmitted &message);
   void onPermit(TimePoint now, const HostName &agent,
@@ -42,21 +42,21 @@
   void onZonesChanged(TimePoint now);
   /// The agent of the current attempt hasn't answered in time: tries another
   /// one.
-  void passBySilentAgent(TimePoint now, ForwardRequest &request);
+  void skipAgent(TimePoint now, ForwardRequest &request);
 
   /// The server didn't run the request; \p outcome says why.
-  void notRun(TimePoint now, ForwardRequest &request, ServerOutcome outcome,
-              ReleaseKind release);
+  void onNotRun(TimePoint now, ForwardRequest &request, ServerOutcome outcome,
+                ReleaseKind release);
   /// Ends a failed attempt in which the server may have run the request.
-  void endBroken(TimePoint now, ForwardRequest &request);
+  void endFailedAttempt(TimePoint now, ForwardRequest &request);
   /// Sends a request whose attempt has failed to another server, or gives it
   /// up.
-  void tryAgain(TimePoint now, ForwardRequest &request);
+  void retryOrGiveUp(TimePoint now, ForwardRequest &request);
   /// \returns whether its route and its state allow the request to be sent to
   /// another server.
   bool mayRepeat(TimePoint now, const ForwardRequest &request) const;
   /// The first event has arrived: notifies the agent.
-  void noteBegan(const ForwardRequest &request);
+  void notifyBegan(const ForwardRequest &request);
   /// Ends the current attempt; notifies the agent and updates the server's
   /// counters.
   void endAttempt(TimePoint now, ForwardRequest &request, ServerOutcome outcome,
@@ -65,18 +65,20 @@
   void cancel(TimePoint now, ForwardRequest &request);
 
   /// Defers the request, or gives it up.
-  void holdOrGiveUp(TimePoint now, ForwardRequest &request, ForwardFailure why);
+  void deferOrGiveUp(TimePoint now, ForwardRequest &request,
+                     ForwardFailure why);
   /// Answers with a refusal that guarantees that the request did not run, or
   /// with a failure where it may have run, and removes the request.
   void giveUp(TimePoint now, ForwardRequest &request, ForwardFailure why);
   void finish(TimePoint now, ForwardRequest &request);
-  void note(TimePoint now, const char *name, const ForwardRequest &request,
-            std::string detail = {}, int status = 0, bool lost = false);
+  void recordEvent(TimePoint now, const char *name,
+                   const ForwardRequest &request, std::string detail = {},
+                   int status = 0, bool lost = false);
   /// Records what the server asks for with its answer, and notifies its agent.
   void noteFeedback(TimePoint now, const ForwardRequest &request,
                     const AnswerFeedback &feedback);
   /// The server has run the request, or may have.
-  void noteMayHaveRun(ForwardRequest &request) {
+  void recordMayHaveRun(ForwardRequest &request) {
     Accounts.onMayHaveRun(request);
   }
 
@@ -86,7 +88,7 @@
   void choosePlain(TimePoint now, ForwardRequest &request);
   void chooseEngine(TimePoint now, ForwardRequest &request);
   /// No server takes the request now: defers or refuses it.
-  void noneTakes(TimePoint now, ForwardRequest &request);
+  void handleNoServer(TimePoint now, ForwardRequest &request);
   /// The only servers that take the request are rate-limited or cold ones for
   /// which this entry has no permit: defers the request until one may come, or
   /// refuses it.
@@ -96,17 +98,17 @@
   /// knowing.
   bool mayMissEvacuation(TimePoint now) const;
   /// The host of an agent may be gone, and the engine with it.
-  void suspect(TimePoint now, const HostName &agent);
+  void markSuspected(TimePoint now, const HostName &agent);
   void askAgent(TimePoint now, ForwardRequest &request, const Route &route);
   void send(TimePoint now, ForwardRequest &request, ServerView &server);
   /// Sends the message if the agent is known. Plain services have no agent, and
   /// an agent that has gone needs no message.
-  void tellAgent(const HostName &agent, Message message);
+  void notifyAgent(const HostName &agent, Message message);
   void release(const ForwardAttempt &attempt, ReleaseKind kind);
   /// \returns the retry-after time for a refused caller; nothing if a retry is
   /// useless.
-  std::optional<Duration> comeBackOf(const ForwardRequest &request,
-                                     ForwardFailure why);
+  std::optional<Duration> retryAfterOf(const ForwardRequest &request,
+                                       ForwardFailure why);
   void noteLoad(const HostName &agent, const LoadFigures &load);
   ForwardRequest *find(const AttemptId &attempt, const HostName &agent);
   /// \returns whether its route's limit of servers allows another one.
@@ -117,7 +119,7 @@
 
   ForwardBoard &Board;
   AccountController &Accounts;
-  HoldController &Holds;
+  HoldController &Deferrals;
   QuarantineController &Quarantine;
   RoutingPolicy &Routing;
 };
--- a/packages/forward/pimentofront/src/Forward/ForwardBoard.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardBoard.h
@@ -50,32 +50,32 @@
   std::uint32_t MaxUnreachable = 3;
   /// Answers up to this size, in bytes, are buffered until they are complete,
   /// so that an answer that breaks off can be replaced by another server's.
-  std::size_t HoldBytes = std::size_t(64) << 10;
+  std::size_t AnswerBufferLimit = std::size_t(64) << 10;
   /// Longest time for which a request that nothing can take now is deferred.
   /// After a power loss the routing document is missing for about a second, and
   /// engines need time to reload their base model from disk.
-  Duration HoldTime = std::chrono::seconds(2);
+  Duration DeferTimeout = std::chrono::seconds(2);
   /// Deferral also ends after this share of the time that the caller waits, so
   /// that a refused caller has time left to retry.
-  double HoldShare = 1.0 / 3;
+  double DeferShare = 1.0 / 3;
   /// Delay before a deferred request is tried again.
-  Duration HoldPause = std::chrono::milliseconds(100);
+  Duration RetryDelay = std::chrono::milliseconds(100);
   /// Maximum number of requests deferred at one time: a few seconds of an
   /// entry's share of the traffic.
-  std::size_t MostHeld = 256;
+  std::size_t MaxDeferred = 256;
   /// Shortest retry-after time that a refusal names.
   Duration LeastComeBack = std::chrono::milliseconds(100);
   /// Timeout for the replicas' decision on whether a watched request may be
   /// tried. Covers a commit and a change of leader, and takes little of a
   /// caller's time.
-  Duration LeaveTimeout = std::chrono::milliseconds(700);
+  Duration TrialDecisionTimeout = std::chrono::milliseconds(700);
   /// A request that was in flight when a second server process exited waits for
   /// this long before it requests a trial, so that all entries that had
   /// requests on that server have reported. Covers a few round trips, including
   /// a connection to the leader and its commit. Without the wait, in two of ten
   /// runs with three or more requests that crash servers, an unaffected request
   /// was taken for the cause before the cause itself was reported.
-  Duration SettleTime = std::chrono::milliseconds(60);
+  Duration SettleDelay = std::chrono::milliseconds(60);
   /// Reports on the exit of a server or on the end of a trial are resent for
   /// this long; every outage of the replicas that has to be tolerated ends
   /// within this time.
@@ -83,10 +83,10 @@
   /// After the process was suspended, requests wait for at most this long for
   /// an update on what is in quarantine. An entry that can't reach the replicas
   /// then serves without it.
-  Duration AskFirstTime = std::chrono::milliseconds(500);
+  Duration QuarantineUpdateTimeout = std::chrono::milliseconds(500);
   /// Retry-after time named by a process without a routing document. Replicas
   /// that were all killed need this long to elect a leader and to hear from it.
-  Duration UnreadyComeBack = std::chrono::milliseconds(800);
+  Duration UnreadyRetryAfter = std::chrono::milliseconds(800);
 };
 
 /// Why a request has no answer from a backend server.
@@ -107,10 +107,10 @@
   Quarantined,
   /// Servers exited while they ran it, and another attempt at it is in
   /// progress.
-  OnTrial,
+  TrialInProgress,
   /// Servers exited while they ran it, and the replicas haven't decided whether
   /// it may be tried.
-  NoLeave,
+  TrialUndecided,
   /// No client account holds its key.
   UnknownKey,
   /// The copy of the configuration is too old to tell whether a key is still
@@ -120,9 +120,9 @@
   OverAllotment,
   /// The leader of the replicas hasn't said whether the allotment has units
   /// left.
-  NoAllotment,
+  AllotmentUndecided,
   /// All servers of the service have asked for a backoff.
-  ServersRest,
+  ServersBackingOff,
   /// The copy of the configuration is too old to tell which zones are
   /// evacuated.
   ZonesOutdated,
@@ -141,23 +141,23 @@
   HostName Agent;
   bool OnlyIfResident = false;
   /// The agent has answered.
-  bool Heard = false;
+  bool AgentAnswered = false;
   /// Longest time for which this process was stalled since it asked the agent.
-  Duration LongestStop = Duration::zero();
+  Duration LongestStall = Duration::zero();
   ServerProcess Server;
   TimePoint StartedAt;
   bool Sent = false;
   TimePoint SentAt;
   std::optional<TimePoint> FirstEventAt;
   /// When the server last sent a part of the answer's body.
-  TimePoint HeardAt;
+  TimePoint LastReceivedAt;
   /// When its host was suspected to be gone: its agent exited or stopped
   /// answering, or another process has registered as this server.
   TimePoint SuspectedAt;
   /// Head of the accepted answer, once received.
   std::optional<ResponseHead> Head;
   /// Body of the answer as long as it is buffered.
-  std::string Held;
+  std::string BufferedBody;
 };
 
 /// Whether a watched request may be tried.
@@ -212,7 +212,7 @@
   /// It was sent under its current trial grant.
   bool SentOnTrial = false;
   /// Server that is being checked before the request continues.
-  std::optional<ServerProcess> Checks;
+  std::optional<ServerProcess> CheckedServer;
   /// The caller has received the head of the answer.
   bool Answering = false;
   EventStream Events;
@@ -220,7 +220,7 @@
   Duration ComeBack = Duration::zero();
   RefusalReason LastRefusal = RefusalReason::None;
   /// Detail of the refusal, for the log.
-  std::string Grounds;
+  std::string RefusalDetail;
   /// When a deferred request is tried again.
   TimePoint NextTryAt;
 
@@ -352,7 +352,7 @@
   std::unordered_map<std::uint64_t, ForwardRequest> Requests;
   std::unordered_map<AttemptId, std::uint64_t> Attempts;
   /// Deferred requests, which wait until something can take them.
-  std::set<std::uint64_t> Held;
+  std::set<std::uint64_t> Deferred;
   std::uint64_t LastSequence = 0;
   std::vector<ForwardCommand> Commands;
   std::vector<ForwardEvent> Events;
@@ -362,9 +362,9 @@
   bool confirmedWithin(TimePoint now, Duration bound) const {
     // Bound on the relative drift between two hosts' clocks, twice the rate at
     // which NTP slews a clock.
-    constexpr double MostClockDrift = 0.001;
+    constexpr double MaxClockDrift = 0.001;
     const std::optional<Duration> age = Configuration.confirmedAge(now);
-    return age && toSeconds(*age) < toSeconds(bound) * (1 - MostClockDrift);
+    return age && toSeconds(*age) < toSeconds(bound) * (1 - MaxClockDrift);
   }
   /// \returns whether confirmedWithin() will hold for a while longer. Readiness
   /// depends on it, so that callers are directed to other entries before their
--- a/packages/forward/pimentofront/src/Forward/ForwardController.cpp
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.cpp
@@ -19,7 +19,7 @@
 
 /// \returns a number from [0, 1) that depends on the id only, so that a request
 /// sent again goes to the same service.
-double drawOf(const std::string &id) {
+double uniformFromId(const std::string &id) {
   constexpr unsigned UnusedBits = 11;
   constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
   return static_cast<double>(stableHash(id) >> UnusedBits) * Scale;
@@ -44,8 +44,9 @@
                                      const ConfigurationView &configuration,
                                      const HeaderCodec &codec,
                                      RoutingPolicy &routing)
-    : Board(options, configuration, codec), Accounts(Board), Holds(Board),
-      Quarantine(Board), Attempts(Board, Accounts, Holds, Quarantine, routing),
+    : Board(options, configuration, codec), Accounts(Board), Deferrals(Board),
+      Quarantine(Board),
+      Attempts(Board, Accounts, Deferrals, Quarantine, routing),
       Answers(Board, Attempts, Quarantine) {}
 
 void ForwardController::setTable(std::shared_ptr<const RoutingTable> table) {
@@ -65,15 +66,15 @@
   const std::set<ZoneName> before = Board.Servers.evacuatedZones();
   if (zones == before)
     return;
-  const auto tell = [&](const char *name, const ZoneName &zone) {
+  const auto record = [&](const char *name, const ZoneName &zone) {
     Board.Events.push_back({.Name = name, .Detail = zone.str()});
   };
   for (const ZoneName &it : zones)
     if (!before.contains(it))
-      tell("zone_evacuated", it);
+      record("zone_evacuated", it);
   for (const ZoneName &it : before)
     if (!zones.contains(it))
-      tell("zone_restored", it);
+      record("zone_restored", it);
   Board.Servers.setEvacuated(now, std::move(zones));
   Attempts.onZonesChanged(now);
 }
@@ -109,8 +110,8 @@
 void ForwardController::resolve(TimePoint now, ForwardRequest &request) {
   request.Table = Board.Table;
   if (!request.Table) {
-    request.ComeBack = Board.Options.UnreadyComeBack;
-    return holdUnresolved(now, request);
+    request.ComeBack = Board.Options.UnreadyRetryAfter;
+    return deferUnresolved(now, request);
   }
   request.ComeBack = Duration::zero();
   if (request.Traits.Id.empty())
@@ -122,7 +123,7 @@
     // Only an entry that knows the newest configuration may answer that no such
     // route exists.
     if (!Accounts.knowsNewest(now))
-      return holdUnresolved(now, request);
+      return deferUnresolved(now, request);
     return Attempts.giveUp(now, request, ForwardFailure::NoRoute);
   }
   admit(now, request);
@@ -130,14 +131,14 @@
 
 void ForwardController::admit(TimePoint now, ForwardRequest &request) {
   switch (Accounts.identify(now, request)) {
-  case KeyVerdict::Unknown:
+  case KeyStatus::Unknown:
     return Attempts.giveUp(now, request, ForwardFailure::UnknownKey);
-  case KeyVerdict::Undecided:
+  case KeyStatus::Undecided:
     request.Route = nullptr;
-    return holdUnresolved(now, request);
-  case KeyVerdict::Outdated:
+    return deferUnresolved(now, request);
+  case KeyStatus::Outdated:
     return Attempts.giveUp(now, request, ForwardFailure::KeysOutdated);
-  case KeyVerdict::Known:
+  case KeyStatus::Known:
     break;
   }
   request.Zones = AllowedZones(Board.Options.Regions, request.Route->Regions,
@@ -149,8 +150,8 @@
   request.Deadline = request.ArrivedAt +
                      std::min(timeLeft, request.Route->Timeout) -
                      Board.Options.AnswerReserve;
-  request.Service =
-      RoutingTable::chooseService(*request.Route, drawOf(request.Traits.Id));
+  request.Service = RoutingTable::chooseService(
+      *request.Route, uniformFromId(request.Traits.Id));
   const ServiceSpec *service = request.Table->findService(request.Service);
   request.ToEngine = service && service->Engine;
   if (request.ToEngine && !request.Traits.Adapter.empty()) {
@@ -172,9 +173,9 @@
       continue;
     }
     request.ComeBack = it.ComeBack;
-    request.Grounds = "; account's level " + std::to_string(it.Level) +
-                      ", asked " + std::to_string(it.Age.count() / 1000) +
-                      " ms ago";
+    request.RefusalDetail = "; account's level " + std::to_string(it.Level) +
+                            ", asked " + std::to_string(it.Age.count() / 1000) +
+                            " ms ago";
     Attempts.giveUp(now, request, ForwardFailure::OverAllotment);
   }
 }
@@ -184,24 +185,25 @@
   Board.Permits.onReply(now, reply);
   // Requests that wait for a permit are tried again: each is sent, deferred
   // again, or refused.
-  for (const std::uint64_t key : Board.Held) {
+  for (const std::uint64_t key : Board.Deferred) {
     ForwardRequest &request = Board.Requests.at(key);
     if (request.Route && !request.ToEngine)
       request.NextTryAt = now;
   }
-  retryHeld(now);
+  retryDeferred(now);
 }
 
-bool ForwardController::waitsTooLong(TimePoint now,
-                                     const ForwardRequest &request) const {
+bool ForwardController::isChargeOverdue(TimePoint now,
+                                        const ForwardRequest &request) const {
   return request.Charge.Now == AllotmentCharge::State::Asked &&
-         now >= Holds.limitOf(request);
+         now >= Deferrals.deferLimit(request);
 }
 
-void ForwardController::holdUnresolved(TimePoint now, ForwardRequest &request) {
+void ForwardController::deferUnresolved(TimePoint now,
+                                        ForwardRequest &request) {
   request.Deadline =
       request.ArrivedAt + request.Traits.TimeLeft.value_or(Duration::zero());
-  Attempts.holdOrGiveUp(now, request, ForwardFailure::NotReady);
+  Attempts.deferOrGiveUp(now, request, ForwardFailure::NotReady);
 }
 
 void ForwardController::onDecision(
@@ -213,27 +215,27 @@
   ForwardRequest &request = Board.Requests.at(decision->Key);
   if (now >= request.Deadline)
     return Attempts.giveUp(now, request, ForwardFailure::TimedOut);
-  Attempts.goOn(now, request, decision->Leave);
+  Attempts.proceed(now, request, decision->Decision);
 }
 
 void ForwardController::onServerChecked(TimePoint now,
                                         const ServerProcess &server,
                                         ServerLife life) {
   for (const std::uint64_t key : Quarantine.onServerChecked(now, server, life))
-    Attempts.tryAgain(now, Board.Requests.at(key));
+    Attempts.retryOrGiveUp(now, Board.Requests.at(key));
 }
 
 void ForwardController::onCallerGone(TimePoint now, std::uint64_t key) {
   const auto it = Board.Requests.find(key);
   if (it == Board.Requests.end())
     return;
-  Attempts.note(now, "caller_gone", it->second);
+  Attempts.recordEvent(now, "caller_gone", it->second);
   Attempts.cancel(now, it->second);
   Attempts.finish(now, it->second);
 }
 
-void ForwardController::retryHeld(TimePoint now) {
-  for (const std::uint64_t key : Holds.takeDue(now)) {
+void ForwardController::retryDeferred(TimePoint now) {
+  for (const std::uint64_t key : Deferrals.takeDue(now)) {
     ForwardRequest &request = Board.Requests.at(key);
     if (request.Route)
       Attempts.next(now, request);
@@ -250,41 +252,43 @@
   for (const auto &[key, it] : Board.Requests) {
     if (now >= it.Deadline)
       late.push_back(key);
-    else if (isSilent(now, it))
+    else if (isAgentOverdue(now, it))
       silent.push_back(key);
-    else if (isLost(now, it))
+    else if (isServerLost(now, it))
       lost.push_back(key);
-    else if (waitsTooLong(now, it))
+    else if (isChargeOverdue(now, it))
       unanswered.push_back(key);
   }
   for (const std::uint64_t key : late)
     Attempts.giveUp(now, Board.Requests.at(key), ForwardFailure::TimedOut);
   for (const std::uint64_t key : silent)
-    Attempts.passBySilentAgent(now, Board.Requests.at(key));
+    Attempts.skipAgent(now, Board.Requests.at(key));
   for (const std::uint64_t key : lost)
     Answers.onServerLost(now, Board.Requests.at(key));
   for (const std::uint64_t key : unanswered)
-    Attempts.giveUp(now, Board.Requests.at(key), ForwardFailure::NoAllotment);
-  retryHeld(now);
+    Attempts.giveUp(now, Board.Requests.at(key),
+                    ForwardFailure::AllotmentUndecided);
+  retryDeferred(now);
   for (const std::uint64_t key : Quarantine.takeSettled(now))
     Attempts.next(now, Board.Requests.at(key));
 }
 
-bool ForwardController::isSilent(TimePoint now,
-                                 const ForwardRequest &request) const {
+bool ForwardController::isAgentOverdue(TimePoint now,
+                                       const ForwardRequest &request) const {
   const auto &attempt = request.Attempt;
-  return attempt && !attempt->Sent && !attempt->Heard &&
+  return attempt && !attempt->Sent && !attempt->AgentAnswered &&
          now >= attempt->StartedAt + Board.Options.PermitTimeout;
 }
 
-bool ForwardController::isLost(TimePoint now,
-                               const ForwardRequest &request) const {
+bool ForwardController::isServerLost(TimePoint now,
+                                     const ForwardRequest &request) const {
   if (!request.Attempt || !request.Attempt->Sent || !request.Route->mayRepeat())
     return false;
   const ForwardAttempt &attempt = *request.Attempt;
-  const TimePoint heard = std::max(attempt.SentAt, attempt.HeardAt);
-  const bool suspected = attempt.SuspectedAt > heard;
-  return suspected && now >= heard + Board.Options.LostSilence &&
+  const TimePoint lastReceivedAt =
+      std::max(attempt.SentAt, attempt.LastReceivedAt);
+  const bool suspected = attempt.SuspectedAt > lastReceivedAt;
+  return suspected && now >= lastReceivedAt + Board.Options.LostSilence &&
          now >= attempt.SuspectedAt + Board.Options.LostGrace;
 }
 
--- a/packages/forward/pimentofront/src/Forward/ForwardController.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.h
@@ -90,22 +90,22 @@
   /// Admits the request by its key and its account's allotment, and sends it.
   void admit(TimePoint now, ForwardRequest &request);
   /// \returns whether the request has waited for its units for too long.
-  bool waitsTooLong(TimePoint now, const ForwardRequest &request) const;
+  bool isChargeOverdue(TimePoint now, const ForwardRequest &request) const;
   /// Defers a request whose route can't be determined yet: no configuration is
   /// known, or it isn't known to be the newest.
-  void holdUnresolved(TimePoint now, ForwardRequest &request);
+  void deferUnresolved(TimePoint now, ForwardRequest &request);
   /// Tries deferred requests again that are due.
-  void retryHeld(TimePoint now);
+  void retryDeferred(TimePoint now);
   /// \returns whether the agent's answer is overdue.
-  bool isSilent(TimePoint now, const ForwardRequest &request) const;
+  bool isAgentOverdue(TimePoint now, const ForwardRequest &request) const;
   /// \returns whether the request may be repeated and its server's host must be
   /// assumed to be gone: the host is suspected, LostGrace has passed since, and
   /// the server has sent nothing for LostSilence.
-  bool isLost(TimePoint now, const ForwardRequest &request) const;
+  bool isServerLost(TimePoint now, const ForwardRequest &request) const;
 
   ForwardBoard Board;
   AccountController Accounts;
-  HoldController Holds;
+  HoldController Deferrals;
   QuarantineController Quarantine;
   ContentHasher Hasher;
   AttemptController Attempts;
--- a/packages/forward/pimentofront/src/Forward/HoldController.cpp
+++ b/packages/forward/pimentofront/src/Forward/HoldController.cpp
@@ -4,26 +4,26 @@
 
 namespace pimentofront {
 
-TimePoint HoldController::limitOf(const ForwardRequest &request) const {
+TimePoint HoldController::deferLimit(const ForwardRequest &request) const {
   const ForwardOptions &options = Board.Options;
   const Duration time =
       request.Traits.TimeLeft.value_or(request.Deadline - request.ArrivedAt);
-  const Duration share = fromSeconds(toSeconds(time) * options.HoldShare);
-  return request.ArrivedAt + std::min(share, options.HoldTime);
+  const Duration share = fromSeconds(toSeconds(time) * options.DeferShare);
+  return request.ArrivedAt + std::min(share, options.DeferTimeout);
 }
 
-bool HoldController::hold(TimePoint now, ForwardRequest &request) {
-  const bool untouched = request.Sends == 0 && !request.MayHaveRun;
-  if (!untouched || now >= limitOf(request) ||
-      Board.Held.size() >= Board.Options.MostHeld)
+bool HoldController::defer(TimePoint now, ForwardRequest &request) {
+  const bool neverSent = request.Sends == 0 && !request.MayHaveRun;
+  if (!neverSent || now >= deferLimit(request) ||
+      Board.Deferred.size() >= Board.Options.MaxDeferred)
     return false;
-  Board.Held.insert(request.Key);
-  request.NextTryAt = now + Board.Options.HoldPause;
+  Board.Deferred.insert(request.Key);
+  request.NextTryAt = now + Board.Options.RetryDelay;
   return true;
 }
 
-void HoldController::wakeAt(std::uint64_t key, TimePoint at) {
-  if (!Board.Held.contains(key))
+void HoldController::retryAt(std::uint64_t key, TimePoint at) {
+  if (!Board.Deferred.contains(key))
     return;
   ForwardRequest &request = Board.Requests.at(key);
   request.NextTryAt = std::min(request.NextTryAt, at);
@@ -31,14 +31,14 @@
 
 std::vector<std::uint64_t> HoldController::takeDue(TimePoint now) {
   std::vector<std::uint64_t> due;
-  for (const std::uint64_t key : Board.Held) {
+  for (const std::uint64_t key : Board.Deferred) {
     const ForwardRequest &request = Board.Requests.at(key);
-    const bool tableCame = !request.Route && request.Table != Board.Table;
-    if (tableCame || now >= request.NextTryAt)
+    const bool tableChanged = !request.Route && request.Table != Board.Table;
+    if (tableChanged || now >= request.NextTryAt)
       due.push_back(key);
   }
   for (const std::uint64_t key : due)
-    Board.Held.erase(key);
+    Board.Deferred.erase(key);
   return due;
 }
 
--- a/packages/forward/pimentofront/src/Forward/HoldController.h
+++ b/packages/forward/pimentofront/src/Forward/HoldController.h
@@ -23,15 +23,15 @@
   /// Defers the request, unless it has been sent, has waited long enough, or
   /// too many are deferred already.
   /// \returns whether it is deferred.
-  bool hold(TimePoint now, ForwardRequest &request);
+  bool defer(TimePoint now, ForwardRequest &request);
   /// Moves the next try of a deferred request forward to \p at, if that is
   /// sooner.
-  void wakeAt(std::uint64_t key, TimePoint at);
+  void retryAt(std::uint64_t key, TimePoint at);
   /// \returns the requests that are to be tried again now; they are no longer
   /// deferred.
   std::vector<std::uint64_t> takeDue(TimePoint now);
   /// \returns until when the request may be deferred.
-  TimePoint limitOf(const ForwardRequest &request) const;
+  TimePoint deferLimit(const ForwardRequest &request) const;
 
 private:
   ForwardBoard &Board;
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
@@ -15,26 +15,27 @@
 // Trial grants
 //===----------------------------------------------------------------------===//
 
-bool QuarantineController::mayNotKnow(TimePoint now) const {
-  return AskFirstSince && now < *AskFirstSince + Board.Options.AskFirstTime;
+bool QuarantineController::mayBeOutdated(TimePoint now) const {
+  return OutdatedSince &&
+         now < *OutdatedSince + Board.Options.QuarantineUpdateTimeout;
 }
 
 void QuarantineController::onKnown(TimePoint at) {
-  if (AskFirstSince && at >= *AskFirstSince)
-    AskFirstSince.reset();
+  if (OutdatedSince && at >= *OutdatedSince)
+    OutdatedSince.reset();
 }
 
-SendLeave QuarantineController::askLeave(TimePoint now,
-                                         ForwardRequest &request) {
+SendDecision QuarantineController::decideSend(TimePoint now,
+                                              ForwardRequest &request) {
   if (request.Trial == TrialState::Granted)
-    return SendLeave::Granted;
+    return SendDecision::Granted;
   if (request.Trial != TrialState::None)
-    return SendLeave::Asked;
+    return SendDecision::Asked;
   switch (Board.Quarantine.stateOf(request.Content)) {
   case QuarantineState::Quarantined:
-    return SendLeave::Quarantined;
+    return SendDecision::Quarantined;
   case QuarantineState::Clear:
-    return mayNotKnow(now) ? SendLeave::NotKnown : SendLeave::Granted;
+    return mayBeOutdated(now) ? SendDecision::Undecided : SendDecision::Granted;
   case QuarantineState::Watched:
     break;
   }
@@ -42,12 +43,12 @@
   const std::uint64_t nonce = ask(ClaimTrial{.Content = request.Content,
                                              .Holder = holderOf(Board, request),
                                              .HeldFor = request.Deadline - now},
-                                  Board.Options.LeaveTimeout);
+                                  Board.Options.TrialDecisionTimeout);
   Claims[nonce] = request.Key;
-  return SendLeave::Asked;
+  return SendDecision::Asked;
 }
 
-std::optional<LeaveDecision>
+std::optional<TrialDecision>
 QuarantineController::onDecision(std::uint64_t nonce,
                                  const std::optional<CommandOutcome> &outcome) {
   if (const auto report = Reports.extract(nonce)) {
@@ -65,19 +66,19 @@
   ForwardRequest &request = it->second;
   request.Trial = TrialState::None;
   if (!outcome)
-    return LeaveDecision{request.Key, SendLeave::NotKnown};
+    return TrialDecision{request.Key, SendDecision::Undecided};
   switch (outcome->Result) {
   case CommandResult::Accepted:
     request.Trial = TrialState::Granted;
-    return LeaveDecision{request.Key, SendLeave::Granted};
+    return TrialDecision{request.Key, SendDecision::Granted};
   case CommandResult::NotFound:
     Board.Quarantine.put(request.Content, QuarantineState::Clear);
-    return LeaveDecision{request.Key, SendLeave::Granted};
+    return TrialDecision{request.Key, SendDecision::Granted};
   case CommandResult::InProgress:
-    return LeaveDecision{request.Key, SendLeave::OnTrial};
+    return TrialDecision{request.Key, SendDecision::TrialInProgress};
   default:
     Board.Quarantine.put(request.Content, QuarantineState::Quarantined);
-    return LeaveDecision{request.Key, SendLeave::Quarantined};
+    return TrialDecision{request.Key, SendDecision::Quarantined};
   }
 }
 
@@ -125,15 +126,15 @@
   const auto [it, isNew] = Checks.try_emplace(process);
   if (isNew)
     Board.Commands.push_back(CheckServer{process, server->Record.Address});
-  const bool held = request.Trial == TrialState::Granted;
+  const bool hasGrant = request.Trial == TrialState::Granted;
   it->second.AtWork.push_back(
       {.Content = request.Content,
        .Answering = request.Attempt->FirstEventAt.has_value(),
-       .Holder = held ? holderOf(Board, request) : AttemptId()});
+       .Holder = hasGrant ? holderOf(Board, request) : AttemptId()});
   // The report releases the trial grant, too.
-  if (held)
+  if (hasGrant)
     request.Trial = TrialState::None;
-  request.Checks = process;
+  request.CheckedServer = process;
   it->second.Waiting.push_back(request.Key);
   return true;
 }
@@ -145,31 +146,31 @@
     return {};
   const std::vector<RequestAtWork> &atWork = check.mapped().AtWork;
   if (life == ServerLife::Ended) {
-    settleSecondEnds(now, server, check.mapped());
-    reportEnd(now, server, atWork);
+    startSettling(now, server, check.mapped());
+    reportServerExit(now, server, atWork);
   } else
     endTrials(atWork, life);
   std::vector<std::uint64_t> waiting;
   for (const std::uint64_t key : check.mapped().Waiting) {
     const auto it = Board.Requests.find(key);
-    if (it == Board.Requests.end() || it->second.Checks != server)
+    if (it == Board.Requests.end() || it->second.CheckedServer != server)
       continue;
-    it->second.Checks.reset();
+    it->second.CheckedServer.reset();
     waiting.push_back(key);
   }
   return waiting;
 }
 
-void QuarantineController::settleSecondEnds(TimePoint now,
-                                            const ServerProcess &server,
-                                            const Check &check) {
+void QuarantineController::startSettling(TimePoint now,
+                                         const ServerProcess &server,
+                                         const Check &check) {
   for (const std::uint64_t key : check.Waiting) {
     const auto it = Board.Requests.find(key);
-    if (it == Board.Requests.end() || it->second.Checks != server ||
+    if (it == Board.Requests.end() || it->second.CheckedServer != server ||
         Board.Quarantine.stateOf(it->second.Content) == QuarantineState::Clear)
       continue;
     it->second.Trial = TrialState::Settling;
-    it->second.SettledAt = now + Board.Options.SettleTime;
+    it->second.SettledAt = now + Board.Options.SettleDelay;
   }
 }
 
@@ -197,8 +198,9 @@
   }
 }
 
-void QuarantineController::reportEnd(TimePoint now, const ServerProcess &server,
-                                     const std::vector<RequestAtWork> &atWork) {
+void QuarantineController::reportServerExit(
+    TimePoint now, const ServerProcess &server,
+    const std::vector<RequestAtWork> &atWork) {
   std::vector<ContentHash> contents;
   for (const RequestAtWork &it : atWork) {
     contents.push_back(it.Content);
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.h
@@ -6,21 +6,21 @@
 namespace pimentofront {
 
 /// Whether a request may be sent to a backend server.
-enum class SendLeave : std::uint8_t {
+enum class SendDecision : std::uint8_t {
   Granted,
   /// The replicas are being asked; onDecision() returns their decision.
   Asked,
   /// It isn't known yet what is in quarantine: to be tried again soon.
-  NotKnown,
+  Undecided,
   /// Another attempt at the same request is in progress.
-  OnTrial,
+  TrialInProgress,
   Quarantined,
 };
 
 /// A request that waited for a decision, and the decision.
-struct LeaveDecision {
+struct TrialDecision {
   std::uint64_t Key = 0;
-  SendLeave Leave = SendLeave::Granted;
+  SendDecision Decision = SendDecision::Granted;
 };
 
 /// \class QuarantineController
@@ -42,10 +42,10 @@
 
   /// \returns whether the request may be sent now; asks the replicas if the
   /// decision is theirs.
-  SendLeave askLeave(TimePoint now, ForwardRequest &request);
+  SendDecision decideSend(TimePoint now, ForwardRequest &request);
   /// The replicas have decided on a question of this entry, or haven't in time.
   /// \returns the request that waited for it, with the decision.
-  std::optional<LeaveDecision>
+  std::optional<TrialDecision>
   onDecision(std::uint64_t nonce, const std::optional<CommandOutcome> &outcome);
   void onUpdate(const QuarantineUpdate &update) {
     Board.Quarantine.apply(update);
@@ -67,7 +67,7 @@
 
   /// The process was suspended or stalled: what it knows of the quarantine may
   /// be outdated.
-  void onWake(TimePoint now) { AskFirstSince = now; }
+  void onWake(TimePoint now) { OutdatedSince = now; }
   /// Every decision made before \p at is known.
   void onKnown(TimePoint at);
 
@@ -76,16 +76,16 @@
     std::vector<RequestAtWork> AtWork;
     std::vector<std::uint64_t> Waiting;
   };
-  void settleSecondEnds(TimePoint now, const ServerProcess &server,
-                        const Check &check);
-  bool mayNotKnow(TimePoint now) const;
+  void startSettling(TimePoint now, const ServerProcess &server,
+                     const Check &check);
+  bool mayBeOutdated(TimePoint now) const;
   std::uint64_t ask(CommandBody body, Duration giveUpAfter);
   void endTrial(const ContentHash &content, const AttemptId &holder,
                 TrialEnding ending);
   /// Releases the trial grants that some of \p atWork held.
   void endTrials(const std::vector<RequestAtWork> &atWork, ServerLife life);
-  void reportEnd(TimePoint now, const ServerProcess &server,
-                 const std::vector<RequestAtWork> &atWork);
+  void reportServerExit(TimePoint now, const ServerProcess &server,
+                        const std::vector<RequestAtWork> &atWork);
 
   ForwardBoard &Board;
   std::map<ServerProcess, Check> Checks;
@@ -95,7 +95,7 @@
   /// Contents that were reported, by the nonce of the report.
   std::map<std::uint64_t, std::vector<ContentHash>> Reports;
   std::uint64_t LastNonce = 0;
-  std::optional<TimePoint> AskFirstSince;
+  std::optional<TimePoint> OutdatedSince;
 };
 
 } // namespace pimentofront
--- a/packages/forward/pimentofront/src/Forward/QuarantineSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/QuarantineSet.cpp
@@ -6,8 +6,8 @@
   const auto it = Known.find(content);
   if (it != Known.end())
     return it->second;
-  return Own.contains(content) ? QuarantineState::Watched
-                               : QuarantineState::Clear;
+  return Observed.contains(content) ? QuarantineState::Watched
+                                    : QuarantineState::Clear;
 }
 
 void QuarantineSet::apply(const QuarantineUpdate &update) {
@@ -19,20 +19,20 @@
     else
       Known[it.Content] = it.State;
   }
-  std::erase_if(Own, [&](const auto &it) {
+  std::erase_if(Observed, [&](const auto &it) {
     return it.second && *it.second <= update.To;
   });
 }
 
 void QuarantineSet::onReported(const ContentHash &content,
                                std::uint64_t version) {
-  const auto it = Own.find(content);
-  if (it != Own.end())
+  const auto it = Observed.find(content);
+  if (it != Observed.end())
     it->second = version;
 }
 
 void QuarantineSet::put(const ContentHash &content, QuarantineState state) {
-  Own.erase(content);
+  Observed.erase(content);
   if (state == QuarantineState::Clear)
     Known.erase(content);
   else
--- a/packages/forward/pimentofront/src/Forward/QuarantineSet.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineSet.h
@@ -19,7 +19,7 @@
   void apply(const QuarantineUpdate &update);
   /// This entry has observed that a server exited while it had the request, and
   /// reports it.
-  void watch(const ContentHash &content) { Own[content] = std::nullopt; }
+  void watch(const ContentHash &content) { Observed[content] = std::nullopt; }
   /// The ledger has recorded the report, at this version.
   void onReported(const ContentHash &content, std::uint64_t version);
   /// The ledger has decided on the request's state.
@@ -30,7 +30,7 @@
   /// Requests that this entry watches by its own observation, until an update
   /// of at least this version arrives from the ledger; nothing while the report
   /// is in flight.
-  std::unordered_map<ContentHash, std::optional<std::uint64_t>> Own;
+  std::unordered_map<ContentHash, std::optional<std::uint64_t>> Observed;
 };
 
 } // namespace pimentofront
--- a/test/ForwardTest.cpp
+++ b/test/ForwardTest.cpp
@@ -317,7 +317,7 @@
   SECTION(
       "no routing document, and the maximum of requests is deferred already") {
     it.Controller.setTable(nullptr);
-    const std::size_t most = ForwardOptions{}.MostHeld;
+    const std::size_t most = ForwardOptions{}.MaxDeferred;
     for (std::uint64_t key = 2; key < most + 2; ++key)
       it.Controller.onRequest(
           Now, key, {"GET", "/safe/", {{"id", "r"}, {"time", "5000"}}}, "",
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -9,7 +9,7 @@
 constexpr ServerLife Ended = ServerLife::Ended;
 
 /// An entry, and the questions that it asks the replicas.
-struct WatchfulEntry : ForwardUnderTest {
+struct QuarantineEntry : ForwardUnderTest {
   /// \returns the last question of type T that the entry has asked since, if
   /// any.
   template <class T> std::optional<T> question() {
@@ -27,15 +27,15 @@
   ContentHash contentOfRequest() const {
     return Controller.board().Requests.at(1).Content;
   }
-  void tell(QuarantineState state) {
+  void updateState(QuarantineState state) {
     Controller.quarantine().onUpdate(
         {.To = 9, .Notices = {{contentOfRequest(), state}}});
   }
   /// Starts a request only to get its content hash, puts the content into
   /// \p state, and cancels the request.
-  void learnContent(QuarantineState state) {
+  void setContentState(QuarantineState state) {
     request("safe");
-    tell(state);
+    updateState(state);
     Controller.onCallerGone(Now, 1);
     Controller.takeCommands();
   }
@@ -47,7 +47,7 @@
 
 TEST_CASE("the exit of a server is reported with the requests that were in "
           "flight there") {
-  WatchfulEntry it;
+  QuarantineEntry it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
   it.Controller.answers().onEnd(Now, sent.Attempt, Broke);
@@ -72,7 +72,7 @@
 
 TEST_CASE(
     "an answer that breaks off without a crash of the server isn't reported") {
-  WatchfulEntry it;
+  QuarantineEntry it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
   SECTION("the process runs, its connection was reset") {
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE("a server that turned a connection away is checked, too") {
-  WatchfulEntry it;
+  QuarantineEntry it;
   it.request("safe");
   it.end(it.only<SendUpstream>(), UpstreamEnding::TurnedAway, Ended);
   CHECK(it.question<ReportServerEnd>());
@@ -106,7 +106,7 @@
 
 TEST_CASE("a request that may not be repeated is answered before the server is "
           "checked") {
-  WatchfulEntry it;
+  QuarantineEntry it;
   it.request("once");
   const auto sent = it.only<SendUpstream>();
   const ContentHash content = it.contentOfRequest();
@@ -119,8 +119,8 @@
 }
 
 TEST_CASE("a request in quarantine gets its final answer at once") {
-  WatchfulEntry it;
-  it.learnContent(QuarantineState::Quarantined);
+  QuarantineEntry it;
+  it.setContentState(QuarantineState::Quarantined);
   it.request("safe");
   const auto reply = it.only<ReplyWhole>();
   // It has run, under other ids: neither "not run" nor a retry-after.
@@ -134,8 +134,8 @@
 
 TEST_CASE(
     "a watched request is tried with a grant, and its outcome is reported") {
-  WatchfulEntry it;
-  it.learnContent(QuarantineState::Watched);
+  QuarantineEntry it;
+  it.setContentState(QuarantineState::Watched);
   it.request("safe");
   REQUIRE(it.question<ClaimTrial>());
   CHECK(it.take<SendUpstream>().empty());
@@ -200,8 +200,8 @@
 
 TEST_CASE("after a second server exit the entry waits for the other entries' "
           "reports") {
-  WatchfulEntry it;
-  it.learnContent(QuarantineState::Watched);
+  QuarantineEntry it;
+  it.setContentState(QuarantineState::Watched);
   it.request("safe");
   REQUIRE(it.question<ClaimTrial>());
   it.decide(CommandResult::Accepted);
@@ -214,8 +214,8 @@
 }
 
 TEST_CASE("requests that differ in one byte have different contents") {
-  WatchfulEntry it;
-  it.learnContent(QuarantineState::Quarantined);
+  QuarantineEntry it;
+  it.setContentState(QuarantineState::Quarantined);
   const RequestHead head{
       "POST", "/safe/q", {{"Host", "h"}, {"id", "r2"}, {"time", "5000"}}};
   const auto hash = [](const char *text) {
@@ -231,8 +231,8 @@
 
 TEST_CASE(
     "an entry that was suspended updates its quarantine before it sends") {
-  WatchfulEntry it;
-  const TimePoint woken = Now + 3s;
+  QuarantineEntry it;
+  const TimePoint resumedAt = Now + 3s;
   it.Controller.quarantine().onWake(Now);
   it.request("safe");
   CHECK(it.take<SendUpstream>().empty());
@@ -257,7 +257,8 @@
     it.request("flow", 1000);
     const auto asked = it.only<SendToAgent>();
     const auto execute = std::get<ExecuteRequest>(asked.Content);
-    it.Controller.attempts().onPermit(woken, asked.Host, {execute.Attempt, {}});
+    it.Controller.attempts().onPermit(resumedAt, asked.Host,
+                                      {execute.Attempt, {}});
     CHECK(it.take<SendUpstream>().empty());
     CHECK(it.only<ReplyWhole>().Head.Status == 503);
   }
