--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
@@ -5,8 +5,9 @@
 namespace pimentofront {
 namespace {
 
-/// A smaller number of entries is believed after so long: an entry that lost
-/// the replicas has found another one by then, or has ended.
+/// Delay after which a decrease in the number of entries takes effect. By then,
+/// an entry that lost its link to a replica has connected to another one or has
+/// exited.
 constexpr Duration BelievedAfter = std::chrono::seconds(5);
 
 } // namespace
@@ -26,7 +27,7 @@
 
 void ConnectionShare::noteTurnedAway(TimePoint now,
                                      const ConnectionShareOptions &options) {
-  // Several that are turned away together are one word.
+  // Several connections that are rejected together cut the share only once.
   if (now < CutAt + options.Recovery * options.CutTo)
     return;
   Rest = options.CutTo;
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.h
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.h
@@ -11,12 +11,13 @@
 
 /// \class ConnectionPart
 /// \ingroup Forward
-/// \brief The connections to one backend server that one entry may have.
+/// \brief How many connections one entry may have to one backend server.
 struct ConnectionPart {
-  /// In use or not.
+  /// Maximum of open connections, whether in use or idle.
   std::uint32_t Open = std::numeric_limits<std::uint32_t>::max();
-  /// Kept although no request uses them. Fewer where an entry's part is less
-  /// than the least that it needs: then each is given up after its answer.
+  /// Maximum of idle connections that are kept for reuse. Lower than Open if
+  /// the entry's share is less than the minimum that it needs; the connections
+  /// beyond it are then closed after their answers.
   std::uint32_t Kept = std::numeric_limits<std::uint32_t>::max();
   friend auto operator<=>(const ConnectionPart &,
                           const ConnectionPart &) = default;
@@ -25,16 +26,17 @@
 /// \class ConnectionShareOptions
 /// \ingroup Forward
 struct ConnectionShareOptions {
-  /// Part of a server's cap that all entries use together. The rest is for
-  /// connections whose end is still on its way to the server, and for entries
+  /// Fraction of a server's cap that all entries together use. The rest allows
+  /// for connections whose close hasn't reached the server yet, and for entries
   /// that have started and aren't counted yet.
   double UsedShare = 0.75;
-  /// An entry may have so many in any case: with fewer, one long answer would
-  /// keep it away from a server.
+  /// Minimum of connections that each entry may open, whatever its share. With
+  /// fewer, one long answer would keep an entry from using the server.
   std::uint32_t Least = 2;
-  /// What is left of the share when the server has turned one away, and the
-  /// time after which it is whole again: a server accepts fewer while its
-  /// queue is long, and a queue is worked off within about a second.
+  /// Factor to which the share is cut when the server rejects a connection, and
+  /// the time in which the share grows back to its full size. A server accepts
+  /// fewer connections while its queue is long, and works a queue off within
+  /// about a second.
   double CutTo = 0.5;
   Duration Recovery = std::chrono::seconds(2);
 };
@@ -42,37 +44,39 @@
 /// \class ConnectionShare
 /// \ingroup Forward
 /// \brief How many connections this entry may have open to one backend server,
-/// whose cap is for the connections of all entries together.
+/// whose cap applies to the connections of all entries together.
 ///
-/// Entries don't tell each other how many they have: each takes the same part
-/// of the cap, by the number of entries that follow the replicas. A connection
-/// that the server turns away says that the part is too large just now, since
-/// entries are cut off and count no more, or since the server accepts fewer; it
-/// is cut then and grows back.
+/// Entries don't exchange their connection counts. Each takes an equal share of
+/// the cap, computed from the number of entries that follow the replicas. A
+/// rejected connection shows that the share is too large at present: either
+/// entries that are cut off from the replicas still hold connections but are no
+/// longer counted, or the server accepts fewer. The share is then cut and grows
+/// back over time.
 class ConnectionShare {
 public:
-  /// \param cap connections that the server accepts; 0 when that isn't known.
-  /// \returns what this entry may have, as one of \p entries.
+  /// \param cap connections that the server accepts; 0 if unknown, which sets
+  /// no limit. \returns the share of this entry, one of \p entries.
   ConnectionPart part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
                       const ConnectionShareOptions &options) const;
-  /// The server turned a connection away.
+  /// Records that the server rejected a connection, and cuts the share.
   void noteTurnedAway(TimePoint now, const ConnectionShareOptions &options);
 
 private:
-  /// What was left of the part at CutAt, and since when it grows.
+  /// Factor on the share at the time CutAt; it grows linearly from then on.
   double Rest = 1;
   TimePoint CutAt;
 };
 
 /// \class EntryCount
 /// \ingroup Forward
-/// \brief Among how many entries the connections of a server are shared.
+/// \brief The number of entries that share the connections of a server.
 ///
-/// More entries count at once. Fewer count only after a while: an entry that
-/// has lost the replicas still serves, and still has its connections.
+/// An increase takes effect at once, a decrease only after a delay: an entry
+/// that has lost its link to the replicas still serves requests and still holds
+/// its connections.
 class EntryCount {
 public:
-  /// \param presumed entries until their number is known.
+  /// \param presumed number of entries to assume until the first report.
   explicit EntryCount(std::uint32_t presumed) : Value(presumed) {}
   void note(TimePoint now, std::uint32_t entries);
   std::uint32_t value() const { return Value; }
@@ -80,7 +84,7 @@
 private:
   std::uint32_t Value;
   bool Known = false;
-  /// Since when fewer are named than Value.
+  /// Since when the reported number has been below Value.
   std::optional<TimePoint> FewerSince;
 };
 
--- a/packages/forward/pimentofront/src/Forward/SendPermits.cpp
+++ b/packages/forward/pimentofront/src/Forward/SendPermits.cpp
@@ -6,12 +6,12 @@
 namespace pimentofront {
 namespace {
 
-/// The leader that doesn't answer a query in this time is looked for anew.
+/// If the leader doesn't reply to a query within this time, the entry looks for
+/// the leader again.
 constexpr Duration AskTimeout = std::chrono::milliseconds(400);
-/// Between two tries to find a leader who answers.
+/// Delay between two attempts to find a leader that replies.
 constexpr Duration AskPause = std::chrono::milliseconds(100);
-/// Servers that are kept in mind before those are forgotten that weren't asked
-/// for lately.
+/// Number of servers at which those without a recent query are removed.
 constexpr std::size_t MostKept = 256;
 constexpr Duration KeptUnused = std::chrono::seconds(30);
 
@@ -25,7 +25,7 @@
 
 void SendPermits::use(const ServerProcess &server) {
   const auto it = Servers.find(server);
-  assert(it != Servers.end() && "there is a permit");
+  assert(it != Servers.end() && "use() needs a permit");
   it->second.GoodUntil = it->second.GoodFrom;
 }
 
--- a/packages/forward/pimentofront/src/Forward/SendPermits.h
+++ b/packages/forward/pimentofront/src/Forward/SendPermits.h
@@ -11,11 +11,13 @@
 
 /// \class SendPermits
 /// \ingroup Forward
-/// \brief One entry's permits to send to limited or cold backend servers
-/// without an agent; the leader of the replicas gives them, one at a time.
+/// \brief One entry's permits to send to backend servers that are rate limited
+/// or cold and have no agent. The leader of the replicas grants them, one at a
+/// time.
 ///
-/// It asks when there is something to send, and not before the leader's time to
-/// come back. A permit is good for one send and lapses soon.
+/// The entry asks for a permit only when it has a request to send, and not
+/// before the retry-after delay of the leader's last reply is over. A permit
+/// covers one send and expires after a short time.
 class SendPermits {
 public:
   /// \returns whether a request may be sent to \p server now.
@@ -23,30 +25,32 @@
   /// Uses the permit.
   /// \pre has() holds for \p server.
   void use(const ServerProcess &server);
-  /// There is work for \p server: asks for a permit, unless there is one, it
-  /// has been asked for, or it is too early.
+  /// Asks for a permit because there is a request for \p server. Does nothing
+  /// if a permit is held or already asked for, or if the retry-after delay
+  /// isn't over.
   void want(TimePoint now, const ServerProcess &server, const RateLimit &limit,
             const ColdStart &cold = {});
-  /// \returns when a permit for \p server may come.
+  /// \returns the earliest time at which a permit for \p server can be valid:
+  /// the start of a permit that is held, else the time of the next query.
   TimePoint nextChance(TimePoint now, const ServerProcess &server) const;
 
   bool wantsQuery() const { return !Queries.empty(); }
-  /// \returns what to ask the leader.
+  /// \returns the queries to send to the leader, and clears the list.
   std::vector<SendPermitQuery> takeQueries();
-  /// The leader has answered; nextChance() says what it means.
+  /// Applies the leader's reply; nextChance() reflects it.
   void onReply(TimePoint now, const SendPermitReply &reply);
-  /// Whatever was asked on the link has to be asked again.
+  /// Drops the queries that were sent on the link; they have to be sent again.
   void onLinkLost(TimePoint now);
-  /// \returns whether a query has gone without an answer for too long.
+  /// \returns whether a query has had no reply within its timeout.
   bool unanswered(TimePoint now) const;
 
 private:
   struct Known {
-    /// Of the query under way; 0 for none.
+    /// Nonce of the query in flight; 0 for none.
     std::uint64_t Nonce = 0;
     TimePoint AskedAt;
     TimePoint NextAskAt;
-    /// The permit, if there is one.
+    /// Validity period of the permit; empty if there is none.
     TimePoint GoodFrom;
     TimePoint GoodUntil;
   };
--- a/packages/forward/pimentofront/src/Forward/ServerFeedback.h
+++ b/packages/forward/pimentofront/src/Forward/ServerFeedback.h
@@ -11,52 +11,57 @@
 
 /// \class AnswerFeedback
 /// \ingroup Forward
-/// \brief What a backend server asks for with one answer.
+/// \brief Flow-control feedback that a backend server sends in the headers of
+/// one answer.
 struct AnswerFeedback {
-  /// Requests a second that it takes from all entries together.
+  /// Rate limit, in requests a second from all entries together.
   std::optional<double> LimitPerSecond;
-  /// It wants nothing from this entry for so long.
+  /// Backoff: how long this entry must send the server nothing.
   std::optional<Duration> Rest;
-  /// It takes no new work from anybody.
+  /// The server accepts no new requests from any entry.
   bool Leaving = false;
-  /// It is cold for so long yet.
+  /// How long the server will remain cold.
   std::optional<Duration> ColdFor;
-  /// A header that couldn't be read; empty if all could.
+  /// Name of a header that couldn't be parsed; empty if all could.
   std::string Unreadable;
   friend auto operator<=>(const AnswerFeedback &,
                           const AnswerFeedback &) = default;
 
-  /// \returns its word on the limit, of an answer that came at \p now to a
-  /// request that was sent at \p sentAt; nothing if it can't be told.
+  /// \returns the rate limit that the answer implies, which arrived at \p now
+  /// for a request that was sent at \p sentAt. An answer that names no limit
+  /// implies that there is none; nothing is returned if a header couldn't be
+  /// parsed.
   std::optional<RateLimit> limitWord(TimePoint now, TimePoint sentAt) const;
 };
 
 /// \class ServerFeedback
 /// \ingroup Forward
-/// \brief What is known of the wishes of one process of a backend server.
+/// \brief The feedback that one process of a backend server has sent so far.
 ///
-/// Answers may come out of order: one to a request that was sent before the
-/// limit was named doesn't end it, and of several rests the latest end counts.
+/// Answers may arrive out of order. An answer without a limit doesn't remove
+/// the limit if its request was sent before the limit was last named, and of
+/// several backoffs the one that ends last applies.
 class ServerFeedback {
 public:
-  /// The longest rest that is kept. A server that needs more asks again; one
-  /// that is there again for long must not stay unused by a mistaken word.
+  /// Upper bound on a backoff. A server that needs a longer one asks again, and
+  /// a mistaken value must not keep a server that has recovered out of use for
+  /// long.
   static constexpr Duration MaxRest = std::chrono::hours(1);
-  /// \returns the rest that a server asks for by \p seconds.
+  /// \returns a backoff of \p seconds, capped at the maximum.
   static Duration boundedRest(double seconds) {
     return fromSeconds(std::min(seconds, toSeconds(MaxRest)));
   }
 
-  /// Takes in what an answer said to a request that was sent at \p sentAt.
+  /// Applies the feedback of an answer to a request that was sent at \p sentAt.
   /// \returns what changed, for the log; empty if nothing did.
   std::string apply(TimePoint now, const AnswerFeedback &answer,
                     TimePoint sentAt);
-  /// Takes in what another process knows of the limit.
+  /// Applies the rate limit as another process reported it.
   /// \returns what changed, for the log; empty if nothing did.
   std::string learnLimit(TimePoint now, const RateLimit &limit);
 
   bool isLimited() const { return Limit.isNamed(); }
-  /// \returns what to tell others of the limit.
+  /// \returns the limit and its age, to report to other processes.
   RateLimit limit(TimePoint now) const { return Limit.at(now); }
   bool isResting(TimePoint now) const { return now < RestUntil; }
   TimePoint restUntil() const { return RestUntil; }
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -9,7 +9,7 @@
   return address.substr(0, address.rfind(':'));
 }
 
-/// \returns a pause that doubles with each failure, up to sixteenfold.
+/// \returns \p first, doubled with each failure up to 16 times.
 Duration pauseAfter(Duration first, std::uint32_t failures) {
   constexpr std::uint32_t MostDoublings = 4;
   return first * (1U << std::min(failures, MostDoublings));
@@ -31,8 +31,8 @@
 }
 
 void ServerSet::apply(TimePoint now, const MemberUpdate &update) {
-  // A new leader knows only who has spoken to it: until it has led for a whole
-  // lease, those that it doesn't name may well be there.
+  // A new leader knows only the members that have contacted it. Until it has
+  // led for one member lease, members missing from its list may still exist.
   if (update.Full) {
     Complete = false;
     markUnconfirmed(Servers);
@@ -69,7 +69,7 @@
       known == Servers.end() ||
       !maybeSame(known->second.Record.process(), record.process());
   ServerView &view = Servers[record.Host];
-  // Nothing that was learned of a former process holds for this one.
+  // Observations of a former process don't apply to the new one.
   if (isNew)
     view = ServerView();
   view.Record = record;
@@ -79,7 +79,7 @@
     dropOthersAt(record);
 }
 
-/// Whoever had the address before has ended.
+/// A new process at an address implies that the former one there has exited.
 void ServerSet::dropOthersAt(const MemberRecord &record) {
   std::erase_if(Servers, [&](const auto &it) {
     return it.first != record.Host &&
@@ -88,7 +88,7 @@
 }
 
 void ServerSet::joinAgents() {
-  // A host may run servers of several services; an agent is for one of them.
+  // A host may run servers of several services; an agent belongs to one service.
   std::map<std::pair<std::string, ServiceName>, const ServerView *> byPlace;
   for (const auto &[host, it] : Servers)
     for (const ServiceName &service : it.Record.Services)
@@ -223,7 +223,7 @@
 }
 
 bool ServerSet::isLeaving(const ServerView &server) const {
-  // By its registration or by an answer, whichever came first.
+  // Announced by the registration or by an answer, whichever came first.
   return server.Record.Leaving ||
          feedbackOf(server.Record.process()).isLeaving();
 }
@@ -244,7 +244,7 @@
                         const std::vector<ServerProcess> &without,
                         const AllowedZones &zones) const {
   std::vector<ServerProcess> result;
-  // Mostly no server asks for anything, and none is cold.
+  // Fast path: usually no server has sent feedback and none is cold.
   if (Feedback.empty() && now >= AllWarmAt)
     return result;
   for (const auto &[host, it] : Servers)
@@ -314,7 +314,7 @@
       Options.EjectShare * static_cast<double>(Agents.size()))
     return;
   Agents[agent->first].SuspendedUntil = now + Options.EjectTime;
-  // It gets another chance afterwards.
+  // Otherwise its first failure after the ejection would eject it again.
   server.FailureShare = mean;
 }
 
@@ -328,7 +328,7 @@
 
 ServerFeedback *ServerSet::keptFeedback(const ServerProcess &server) {
   constexpr std::size_t MostKept = 4096;
-  // The last words of a former process say nothing of this one.
+  // Late feedback of a former process doesn't apply to the registered one.
   const auto registered = Servers.find(server.Name);
   if (registered != Servers.end() &&
       !maybeSame(registered->second.Record.process(), server))
--- a/packages/forward/pimentofront/src/Forward/ServerSet.h
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.h
@@ -11,40 +11,46 @@
 
 /// \class ServerView
 /// \ingroup Forward
-/// \brief What an entry knows of one process of a registered backend server.
+/// \brief An entry's view of one process of a registered backend server.
 struct ServerView {
   MemberRecord Record;
-  /// Requests of this entry that it works on, each on its connection.
+  /// Requests of this entry in flight at the server, each on a connection of
+  /// its own.
   std::uint32_t InFlight = 0;
   ConnectionShare Connections;
-  /// Its last word on its load, and when it came.
+  /// The load that the server reported last, and when the report arrived.
   ServerLoad Load;
   TimePoint LoadAt;
-  /// Set after connections failed: used only when nothing else is left.
+  /// Set after connections failed. Until then the server is chosen only if no
+  /// other server is available.
   TimePoint SuspendedUntil;
-  /// It is cold until then.
+  /// The server counts as cold until then.
   TimePoint ColdUntil;
   std::uint32_t Failures = 0;
-  /// Share of its last answers that were failures, decayed by answer.
+  /// Exponentially weighted share of failures among its answers, updated with
+  /// each answer.
   double FailureShare = 0;
-  /// The leader of the replicas hasn't named it since the leader changed.
+  /// The replicas' leader has changed and the new one hasn't listed the server
+  /// yet.
   bool Unconfirmed = false;
 };
 
-/// How a backend server dealt with a request.
+/// How a request to a backend server ended.
 enum class ServerOutcome : std::uint8_t {
   Answered,
-  /// Turned it down without running it: full, or another process.
+  /// The request was declined and not run: the server is full, or its process
+  /// isn't the expected one.
   Declined,
-  /// Answered by a failure, broke off, or spoilt the answer.
+  /// The server answered with a failure, broke off, or sent an invalid answer.
   Failed,
-  /// No connection came about.
+  /// No connection could be established.
   Unreachable,
 };
 
 /// \class FeedbackCounts
 /// \ingroup Forward
-/// \brief How many registered servers ask for something, or are cold.
+/// \brief Numbers of registered servers that have a rate limit, are backing
+/// off, are leaving or are cold.
 struct FeedbackCounts {
   std::uint32_t Limited = 0;
   std::uint32_t Resting = 0;
@@ -58,135 +64,144 @@
 /// \ingroup Forward
 struct ServerSetOptions {
   ZoneName Zone;
-  /// How much more loaded, in parts of its slots, a backend server of this
-  /// zone may be than one of another: bytes between zones cost, and a plain
-  /// service answers as well at half its slots as when it is idle.
+  /// How much more loaded, as a fraction of its slots, a backend server in this
+  /// zone may be than one in another zone before the other one is chosen.
+  /// Traffic between zones costs money, and a plain service answers as well
+  /// with half of its slots in use as when it is idle.
   double ZonePreference = 0.5;
-  /// First pause of a server that can't be reached; doubles up to sixteenfold.
+  /// How long a server is avoided after its first connection failure. Doubles
+  /// with each further failure, up to 16 times this value.
   Duration SuspendTime = std::chrono::milliseconds(250);
-  /// A word on load counts for so long; loads change within some requests.
+  /// Age at which a load report expires: loads change within a few requests.
   Duration LoadLifetime = std::chrono::seconds(1);
-  /// Weight of the newest answer in the share of failures: about the last five
-  /// count.
+  /// Weight of the newest answer in the share of failures; 0.2 averages over
+  /// about the last five answers.
   double FailureWeight = 0.2;
-  /// An engine whose share of failures lies so far above that of its siblings
-  /// is passed by for a while: two failures in a row do it.
+  /// An engine is ejected for EjectTime when its share of failures exceeds the
+  /// mean of its service by this much. Two failures in a row suffice.
   double EjectAbove = 0.3;
   Duration EjectTime = std::chrono::seconds(2);
-  /// Part of the engines that may be passed by at one time.
+  /// Maximum fraction of the engines that may be ejected at the same time.
   double EjectShare = 0.34;
-  /// How much a share of failures above that of the siblings counts, in parts
-  /// of the slots: a server that fails a third more is chosen last.
+  /// Added to a server's score, as a fraction of its slots, per unit by which
+  /// its share of failures exceeds the mean of its service. At 3, a server
+  /// whose share is higher by a third is chosen last.
   double FailurePenalty = 3;
   ConnectionShareOptions Connections;
-  /// Entries among which connections, and sends to a second server, are shared
-  /// until their number is known.
+  /// Number of entries assumed until it is known. Connections to a server, and
+  /// sends to a second server, are divided among them.
   std::uint32_t PresumedEntries = 10;
 };
 
 /// \class ServerSet
 /// \ingroup Forward
-/// \brief The backend servers that registered themselves, the agents beside
-/// some of them, and how they do.
+/// \brief The registered backend servers, the agents on the hosts of some of
+/// them, and the load, failures and feedback observed for each.
 class ServerSet {
 public:
   explicit ServerSet(const ServerSetOptions &options)
       : Options(options), Entries(options.PresumedEntries) {}
 
   void apply(TimePoint now, const MemberUpdate &update);
-  /// The servers in these zones get nothing. Those in zones that are taken back
-  /// count as cold: they may have become so while nobody sent them anything.
+  /// Sends no requests to servers in \p zones from now on. Servers in zones
+  /// that are no longer evacuated count as cold, since they may have become
+  /// cold while they received no requests.
   void setEvacuated(TimePoint now, std::set<ZoneName> zones);
   const std::set<ZoneName> &evacuatedZones() const { return Evacuated; }
   bool isEvacuated(const ZoneName &zone) const {
     return Evacuated.contains(zone);
   }
   ServerView *find(const HostName &server);
-  /// \returns what is known of this process, or null when another one has its
-  /// name, or none.
+  /// \returns the view of this process; null if no process, or another one, is
+  /// registered under its name.
   ServerView *find(const ServerProcess &process);
-  /// \returns the server on the agent's host that is in use, or null.
+  /// \returns the server on the agent's host, or null if none there is in use.
   ServerView *beside(const HostName &agent);
-  /// What the services of \p document accept.
+  /// Takes the limits of each service (connections, cold start) from
+  /// \p document.
   void useDocument(const RoutingDocument &document);
-  /// So many entries share the connections of each server.
+  /// Sets the number of entries that share the connections of each server.
   void onEntries(TimePoint now, std::uint32_t entries);
-  /// \returns the best server of \p service for one more request, but for
-  /// those in \p without or outside \p zones, those to which this entry has as
-  /// many connections as it may, and paced ones without one of \p permits; null
-  /// when there is none.
+  /// \returns the server of \p service with the best score for one more
+  /// request, or null if there is none. Skips servers in \p without or outside
+  /// \p zones, servers to which this entry has all the connections that it may
+  /// have, and paced servers (rate limited or cold) for which \p permits holds
+  /// no permit.
   ServerView *choose(TimePoint now, const ServiceName &service,
                      const std::vector<ServerProcess> &without,
                      const SendPermits &permits,
                      const AllowedZones &zones = {});
-  /// \returns the servers of \p service, limited or cold, that would take one
-  /// more request with a permit.
+  /// \returns the servers of \p service that are rate limited or cold and would
+  /// take one more request, given a permit.
   std::vector<ServerProcess>
   pacedServers(TimePoint now, const ServiceName &service,
                const std::vector<ServerProcess> &without,
                const AllowedZones &zones = {}) const;
-  /// \returns whether all servers are known that there are: whoever isn't
-  /// named by then doesn't exist.
+  /// \returns whether the list of servers is complete. A server that isn't
+  /// listed then doesn't exist.
   bool isComplete() const { return Complete; }
   /// \returns whether any server of \p service in \p zones is in use.
   bool serves(const ServiceName &service, const AllowedZones &zones = {}) const;
-  /// Agents with what they said of their engines; one whose engine isn't
-  /// registered counts as taken out of use.
+  /// Agents with the reports on their engines. An agent whose engine isn't
+  /// registered counts as drained.
   MemberViews &agents() { return Agents; }
   const MemberViews &agents() const { return Agents; }
   const std::map<HostName, ServerView> &servers() const { return Servers; }
 
-  /// \returns the connections that this entry may have to \p server.
+  /// \returns how many connections this entry may have to \p server.
   ConnectionPart connections(TimePoint now, const ServerView &server) const;
   void noteSent(const ServerProcess &server);
-  /// The server ended a new connection before it answered anything.
+  /// Records that the server closed a new connection without any answer.
   void noteTurnedAway(TimePoint now, const ServerProcess &server);
   void noteEnded(TimePoint now, const ServerProcess &server,
                  ServerOutcome outcome);
   void noteLoad(TimePoint now, const ServerProcess &server,
                 const ServerLoad &load);
-  /// An answer to a request that was sent at \p sentAt has said what the server
-  /// asks for.
+  /// Records the feedback in an answer to a request that was sent at \p sentAt.
   /// \returns what changed, for the log; empty if nothing did.
   std::string noteFeedback(TimePoint now, const ServerProcess &server,
                            const AnswerFeedback &feedback, TimePoint sentAt);
-  /// Another process has told of the server's limit.
+  /// Records the server's rate limit as another process reported it.
   /// \returns what changed, for the log; empty if nothing did.
   std::string noteLimit(TimePoint now, const ServerProcess &server,
                         const RateLimit &limit);
-  /// \returns when the first of the service's servers in \p zones that rest is
-  /// to be used again; nothing if none rests, or one is in use that doesn't.
+  /// \returns the earliest end of the backoffs if all servers of the service
+  /// that are in use in \p zones are backing off; nothing if one of them isn't,
+  /// or if there is none.
   std::optional<TimePoint> restOver(TimePoint now, const ServiceName &service,
                                     const AllowedZones &zones = {}) const;
-  /// \returns what this process asks for.
+  /// \returns the latest feedback of this process.
   ServerFeedback feedbackOf(const ServerProcess &server) const;
-  /// \returns whether this process is cold, and how many requests it takes
-  /// then.
+  /// \returns the rate at which this process takes requests while it is cold,
+  /// and for how long yet; an empty value if it isn't cold.
   ColdStart coldStartOf(TimePoint now, const ServerProcess &server) const;
   FeedbackCounts countFeedback(TimePoint now) const;
   void suspendAgent(TimePoint now, const HostName &agent);
-  /// The process has ended; another one of the server isn't there yet.
+  /// Records that the process exited and that no other process of the server
+  /// has started yet.
   void noteProcessEnded(TimePoint now, const ServerProcess &server);
 
 private:
-  /// Has agents' hosts follow what their servers ask for.
+  /// Copies the end of the server's backoff to the agent on its host.
   void noteRest(const ServerProcess &server);
   bool isLeaving(const ServerView &server) const;
-  /// \returns whether the server may get requests at all.
+  /// \returns whether the server is neither leaving nor in an evacuated zone.
   bool isInUse(const ServerView &server) const {
     return !isLeaving(server) && !isEvacuated(server.Record.Zone);
   }
-  /// \returns whether the server may get one more request but for its pace.
+  /// \returns whether the server may get one more request. Doesn't check the
+  /// permit that a paced server needs.
   bool isOpen(TimePoint now, const ServerView &server,
               const ServiceName &service,
               const std::vector<ServerProcess> &without,
               const AllowedZones &zones) const;
-  /// \returns what the document says of the server's service; null if nothing.
+  /// \returns the routing document's entry for the server's service, or null.
   const ServiceSpec *specOf(const ServerView &server) const;
-  /// The server is cold until \p until at least.
+  /// Extends the server's cold period to at least \p until.
   void noteCold(ServerView &server, TimePoint until);
   ColdStart coldStartOf(TimePoint now, const ServerView &server) const;
-  /// \returns whether sends to the server are counted.
+  /// \returns whether each send to the server needs a permit, because the
+  /// server is rate limited or cold.
   bool isPaced(TimePoint now, const ServerView &server) const;
   void put(TimePoint now, const MemberRecord &record);
   void dropOthersAt(const MemberRecord &record);
@@ -194,20 +209,20 @@
   double scoreOf(TimePoint now, const ServerView &server,
                  double siblingFailures) const;
   double meanFailureShare(const ServiceName &service) const;
-  /// Passes an engine by that fails more than its siblings.
+  /// Ejects an engine that fails more often than the others of its service.
   void ejectIfFailing(TimePoint now, ServerView &server);
 
   ServerSetOptions Options;
   EntryCount Entries;
-  /// What the document says of each service.
+  /// The services of the routing document in use.
   std::map<ServiceName, ServiceSpec> Services;
   std::set<ZoneName> Evacuated;
-  /// From then on no server is cold.
+  /// Latest end of the cold periods: no server is cold from then on.
   TimePoint AllWarmAt;
   std::map<HostName, ServerView> Servers;
   MemberViews Agents;
-  /// \returns the place to keep what the process asks for; null if another one
-  /// is registered under its name.
+  /// \returns the stored feedback of the process, added if necessary; null if
+  /// another process is registered under its name.
   ServerFeedback *keptFeedback(const ServerProcess &server);
 
   bool Complete = false;
@@ -215,10 +230,11 @@
     ServerProcess Process;
     ServerFeedback Feedback;
   };
-  /// Apart from Servers: a registration that lapses and comes back is of the
-  /// same process.
+  /// Not part of Servers, so that feedback survives a registration that expires
+  /// and is renewed by the same process.
   std::map<HostName, KnownFeedback> Feedback;
-  /// By the agent's host: the server with the same IP address.
+  /// Maps an agent's host to the server with the agent's IP address and base
+  /// model.
   std::map<HostName, HostName> Beside;
 };
 
