--- a/packages/forward/pimentofront/src/Forward/EventStream.cpp
+++ b/packages/forward/pimentofront/src/Forward/EventStream.cpp
@@ -5,8 +5,8 @@
 namespace pimentofront {
 namespace {
 
-/// \returns where the first event in \p text ends, behind its empty line, or
-/// npos. Looks from \p from on.
+/// \returns the position after the empty line that ends the first event in
+/// \p text, or npos. The search begins at \p from.
 std::size_t endOfEvent(std::string_view text, std::size_t from) {
   for (std::size_t i = text.find('\n', from); i != std::string_view::npos;
        i = text.find('\n', i + 1)) {
@@ -19,7 +19,7 @@
   return std::string_view::npos;
 }
 
-/// \returns the value of the `id` line of an event.
+/// \returns the number in the `id` line of an event; nothing without one.
 std::optional<std::uint64_t> idOf(std::string_view event) {
   constexpr std::string_view Name = "id:";
   while (!event.empty()) {
@@ -56,7 +56,7 @@
 }
 
 std::string EventStream::take(std::string_view bytes) {
-  // An empty line may stand half in what came before.
+  // The empty line that ends an event may be split between two pieces.
   constexpr std::size_t LongestEnd = 3;
   std::size_t from =
       Partial.size() > LongestEnd ? Partial.size() - LongestEnd : 0;
--- a/packages/forward/pimentofront/src/Forward/EventStream.h
+++ b/packages/forward/pimentofront/src/Forward/EventStream.h
@@ -10,22 +10,23 @@
 
 /// \class EventStream
 /// \ingroup Forward
-/// \brief Takes a stream of server-sent events in pieces and gives out whole
-/// events, each once, also when the stream goes on from another server: an
-/// event whose id isn't higher than the last one is left out.
+/// \brief Splits a stream of server-sent events, received in pieces, into
+/// complete events and returns each event once. If another server resumes the
+/// stream, events whose id isn't above the last one returned are skipped.
 class EventStream {
 public:
   EventStream() = default;
-  /// \param last the receiver has the events up to this id.
+  /// \param last id of the last event that the receiver already has.
   explicit EventStream(std::optional<std::uint64_t> last) : Last(last) {}
 
-  /// \returns the whole events that \p bytes complete.
+  /// \returns the events that \p bytes complete.
   std::string take(std::string_view bytes);
-  /// Another server goes on: half an event of the one before is dropped.
+  /// Discards an incomplete event of the former server, since another server
+  /// resumes the stream.
   void restart() { Partial.clear(); }
-  /// \returns what came after the last whole event.
+  /// \returns the bytes received after the last complete event.
   const std::string &partial() const { return Partial; }
-  /// \returns the id of the last event that was given out.
+  /// \returns the id of the last event that was returned, if any has an id.
   std::optional<std::uint64_t> last() const { return Last; }
   std::uint64_t events() const { return Events; }
 
--- a/packages/forward/pimentofront/src/Forward/HeaderCodec.h
+++ b/packages/forward/pimentofront/src/Forward/HeaderCodec.h
@@ -9,45 +9,47 @@
 
 /// \class RequestTraits
 /// \ingroup Forward
-/// \brief What a request says of itself in its headers.
+/// \brief Properties of a request that its headers carry.
 struct RequestTraits {
-  /// Names this attempt of the caller; backend servers echo it.
+  /// Identifies this attempt of the caller; backend servers echo it.
   std::string Id;
-  /// Of the client account that sends it; nothing without a key.
+  /// Digest of the client account's key; nothing if the request has no key.
   std::optional<KeyDigest> Key;
-  /// How long the caller will wait; nothing if it doesn't say.
+  /// How long the caller will wait; nothing if the request doesn't say.
   std::optional<Duration> TimeLeft;
   std::string BaseModel;
-  /// Empty asks for the base model alone.
+  /// Empty if the request is for the base model without an adapter.
   std::string Adapter;
-  /// Tokens of the prompt, and the most that may be generated.
+  /// Tokens of the prompt, and the maximum that may be generated.
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxOutputTokens = 0;
-  /// The request tells these two.
+  /// The request states PromptTokens and MaxOutputTokens.
   bool TellsTokens = false;
   std::vector<PromptPart> Parts;
-  /// The caller has the events up to this one of an earlier stream.
+  /// Id of the last event that the caller has of an earlier stream.
   std::optional<std::uint64_t> LastEvent;
 };
 
 /// \class ForwardTraits
 /// \ingroup Forward
-/// \brief What an entry says to the backend server beside the request itself.
+/// \brief Properties that an entry adds to the headers of a request for the
+/// backend server.
 struct ForwardTraits {
   Duration TimeLeft = Duration::zero();
-  /// Process that must take it; another one refuses.
+  /// Process of the backend server that must run the request; any other one
+  /// refuses it.
   HostName Server;
-  /// Version of the adapter that must run it; 0 leaves it open.
+  /// Version of the adapter that must run the request; 0 allows any.
   VersionNumber Version = 0;
   std::optional<std::uint32_t> Priority;
   std::optional<std::uint64_t> LastEvent;
-  /// Client account that sent it; empty where nobody needs a key.
+  /// Client account that sent the request; empty if no key is needed.
   AccountName Account;
 };
 
 /// \class ServerLoad
 /// \ingroup Forward
-/// \brief What a backend server says of its load with an answer.
+/// \brief A backend server's load, in requests, as reported with an answer.
 struct ServerLoad {
   std::uint32_t Running = 0;
   std::uint32_t Waiting = 0;
@@ -57,13 +59,13 @@
 
 /// \class AnswerTraits
 /// \ingroup Forward
-/// \brief What an answer says of itself in its headers.
+/// \brief Properties of an answer that its headers carry.
 struct AnswerTraits {
-  /// Echo of the request's id; empty when there is none.
+  /// Echo of the request's id; empty if the answer has none.
   std::string Id;
-  /// Carries the backend server's stamp.
+  /// The answer carries the backend server's stamp.
   bool Stamped = false;
-  /// The backend server says that it did not run the request.
+  /// The backend server states that it did not run the request.
   bool NotRun = false;
   std::optional<ServerLoad> Load;
   AnswerFeedback Feedback;
@@ -71,19 +73,21 @@
 
 /// \class HeaderCodec
 /// \ingroup Forward
-/// \brief The names that callers and backend servers use for all this. One
-/// class for each outside system.
+/// \brief Reads and writes the headers that callers and backend servers use for
+/// these properties. Implemented once for each external system, since their
+/// header names differ.
 class HeaderCodec {
 public:
   virtual ~HeaderCodec() = default;
   virtual RequestTraits decodeRequest(const RequestHead &head) const = 0;
   virtual AnswerTraits decodeAnswer(const ResponseHead &head) const = 0;
-  /// \returns the head to send on: as the caller sent it, but for what belongs
-  /// to one connection, for what only the system may set, and for the key.
+  /// \returns the head to forward: the caller's, without the headers that apply
+  /// to one connection, those that only the system may set, and the key, and
+  /// with \p traits added.
   virtual RequestHead encodeRequest(const RequestHead &head,
                                     const ForwardTraits &traits) const = 0;
-  /// \returns headers that name the request and, where that is any use, when
-  /// to come back.
+  /// \returns the headers of a refusal: the request's id and, if \p comeBack is
+  /// given, the retry-after delay.
   virtual HttpHeaders
   refusalHeaders(const RequestTraits &request,
                  std::optional<Duration> comeBack) const = 0;
--- a/packages/forward/pimentofront/src/Forward/HttpMessage.cpp
+++ b/packages/forward/pimentofront/src/Forward/HttpMessage.cpp
@@ -37,7 +37,7 @@
   return text;
 }
 
-/// \returns the header names that a `Connection` value lists.
+/// \returns the header names listed in the value of a `Connection` header.
 std::vector<std::string> listedNames(std::string_view value) {
   std::vector<std::string> names;
   while (!value.empty()) {
--- a/packages/forward/pimentofront/src/Forward/HttpMessage.h
+++ b/packages/forward/pimentofront/src/Forward/HttpMessage.h
@@ -20,7 +20,7 @@
 
 /// \class RequestHead
 /// \ingroup Forward
-/// \brief All of a request but its body.
+/// \brief A request without its body.
 struct RequestHead {
   std::string Method;
   /// Path and query, as sent.
@@ -31,7 +31,7 @@
 
 /// \class ResponseHead
 /// \ingroup Forward
-/// \brief All of an answer but its body.
+/// \brief An answer without its body.
 struct ResponseHead {
   int Status = 0;
   HttpHeaders Headers;
@@ -39,38 +39,39 @@
 };
 
 /// \ingroup Forward
-/// \returns whether two header names are the same; their case doesn't count.
+/// \returns whether two header names are equal, regardless of case.
 bool sameHeaderName(std::string_view a, std::string_view b);
 
 /// \ingroup Forward
-/// \returns the value of the first header of that name, or null.
+/// \returns the value of the first header with this name, or null.
 const std::string *findHeader(const HttpHeaders &headers,
                               std::string_view name);
 
 /// \class DecimalHeader
 /// \ingroup Forward
-/// \brief A header that holds one number.
+/// \brief A header whose value is one number.
 struct DecimalHeader {
   bool Present = false;
-  /// Not negative and finite; nothing if it can't be read or comes twice.
+  /// Finite and not negative; nothing if the value can't be parsed or the
+  /// header occurs more than once.
   std::optional<double> Value;
   friend auto operator<=>(const DecimalHeader &,
                           const DecimalHeader &) = default;
 };
 
 /// \ingroup Forward
-/// Reads digits with an optional fraction, as in "1.5": no sign, no exponent,
-/// no date.
+/// Parses digits with an optional fraction, as in "1.5". Refuses signs,
+/// exponents and dates.
 DecimalHeader readDecimalHeader(const HttpHeaders &headers,
                                 std::string_view name);
 
 /// \ingroup Forward
-/// Takes out what concerns one connection only (RFC 9110, section 7.6.1), and
-/// the length, which whoever sends the message sets anew.
+/// Removes the headers that apply to one connection only (RFC 9110, section
+/// 7.6.1), and the content length, which the sender of the message sets again.
 void removeConnectionHeaders(HttpHeaders &headers);
 
 /// \ingroup Forward
-/// Takes out all headers of one name.
+/// Removes all headers with this name.
 void removeHeader(HttpHeaders &headers, std::string_view name);
 
 } // namespace pimentofront
--- a/packages/forward/pimentofront/src/Forward/RoutingDocument.h
+++ b/packages/forward/pimentofront/src/Forward/RoutingDocument.h
@@ -9,20 +9,20 @@
 
 namespace pimentofront {
 
-/// What may be done with a request more than once.
+/// Whether a request may be run more than once.
 enum class Repeatability : std::uint8_t {
   /// May run more than once.
   Idempotent,
-  /// Runs once at most.
+  /// Runs at most once.
   NonIdempotent,
-  /// Answered by a stream of events; runs once at most, unless the route says
-  /// that streams may be resumed.
+  /// Answered by a stream of events. Runs at most once, unless the route allows
+  /// streams to be resumed.
   Stream,
 };
 
 /// \class WeightedService
 /// \ingroup Forward
-/// \brief A service and its share of a route's requests.
+/// \brief A service and the weight of its share of a route's requests.
 struct WeightedService {
   ServiceName Service;
   std::uint32_t Weight = 1;
@@ -40,23 +40,24 @@
   std::string PathPrefix;
   Repeatability Kind = Repeatability::NonIdempotent;
   std::vector<WeightedService> Split;
-  /// The longest that a request may be kept waiting.
+  /// Maximum time for which a caller waits for the answer. Caps the timeout
+  /// that the caller states.
   Duration Timeout = Duration::zero();
-  /// An answer within this time is worth most.
+  /// An answer within this time has the highest utility.
   Duration LatencyTarget = Duration::zero();
   /// 0 is the most urgent.
   std::uint32_t Priority = 0;
-  /// Backend servers to which one request may be sent.
+  /// Maximum number of backend servers to which one request may be sent.
   std::uint32_t MaxServers = 1;
-  /// A stream that broke off may go on at another backend server.
+  /// A stream that broke off may be resumed at another backend server.
   bool Resumable = false;
-  /// Takes requests of anybody, without a key.
+  /// Accepts requests without a key.
   bool Public = false;
-  /// Its requests may be served in these regions only; none: everywhere.
+  /// Regions in which its requests may be served; empty means all regions.
   std::vector<RegionName> Regions;
   friend auto operator<=>(const RouteSpec &, const RouteSpec &) = default;
 
-  /// \returns whether a request may run at a second backend server.
+  /// \returns whether a request may be run again at another backend server.
   bool mayRepeat() const {
     return Kind == Repeatability::Idempotent ||
            (Kind == Repeatability::Stream && Resumable);
@@ -65,7 +66,7 @@
 
 /// \class ModelSpec
 /// \ingroup Forward
-/// \brief A base model that engines can hold.
+/// \brief A base model that engines can load, with its memory needs.
 struct ModelSpec {
   std::string Name;
   double WeightsMb = 0;
@@ -75,14 +76,14 @@
 
 /// \class EngineSpec
 /// \ingroup Forward
-/// \brief What each engine of a service can hold and run.
+/// \brief Capacity of each engine of a service.
 struct EngineSpec {
-  /// Requests in one batch.
+  /// Maximum number of requests in one batch.
   std::uint32_t BatchCapacity = 1;
   std::uint32_t AdapterSlots = 0;
   /// Memory for weights and adapters together.
   double WeightsMb = 0;
-  /// Tokens of prompts and answers that fit.
+  /// Capacity of the KV cache, in tokens of prompts and answers.
   std::uint64_t CacheTokens = 0;
   std::vector<ModelSpec> Models;
   friend auto operator<=>(const EngineSpec &, const EngineSpec &) = default;
@@ -90,28 +91,30 @@
 
 /// \class ServiceSpec
 /// \ingroup Forward
-/// \brief Backend servers that do the same.
+/// \brief A group of interchangeable backend servers.
 struct ServiceSpec {
   ServiceName Name;
   std::string HealthPath;
-  /// Connections that one backend server accepts, from all hosts together.
+  /// Connections that one backend server accepts from all hosts together.
   std::uint32_t MaxConnections = 0;
-  /// A server that has started, or come back, takes so many requests a second
-  /// from all entries together for this time; 0 sets no limit.
+  /// Rate limit of a cold server, in requests a second from all entries
+  /// together, for ColdTime after it has started or returned to use; 0 sets no
+  /// limit.
   double ColdPerSecond = 0;
   Duration ColdTime = Duration::zero();
-  /// Set where the backend servers run models.
+  /// Set if the backend servers are model engines.
   std::optional<EngineSpec> Engine;
   friend auto operator<=>(const ServiceSpec &, const ServiceSpec &) = default;
 
-  /// \returns that a server of it is cold for \p left; that it isn't, if cold
-  /// servers take as much as others.
+  /// \returns the cold start of a server that remains cold for \p left; an
+  /// empty value if the service doesn't limit cold servers.
   ColdStart coldFor(Duration left) const;
 };
 
 /// \class CallerLimits
 /// \ingroup Forward
-/// \brief Bounds on what a caller may send, and how long it may take.
+/// \brief Limits on the size of a caller's request and on the time in which the
+/// caller sends it.
 struct CallerLimits {
   std::size_t MaxHeadBytes = std::size_t(16) << 10;
   std::size_t MaxBodyBytes = std::size_t(4) << 20;
@@ -122,18 +125,18 @@
 
 /// \class RoutingDocument
 /// \ingroup Forward
-/// \brief All that operators say about routing; accepted or refused whole.
+/// \brief The operators' routing configuration, accepted or refused as a whole.
 struct RoutingDocument {
   std::uint64_t Number = 0;
   std::vector<RouteSpec> Routes;
   std::vector<ServiceSpec> Services;
   CallerLimits Limits;
-  /// None: nobody needs a key.
+  /// Empty means that requests need no key.
   std::vector<ClientAccount> Accounts;
   friend auto operator<=>(const RoutingDocument &,
                           const RoutingDocument &) = default;
 
-  /// Adds a finding for each thing that makes the document unusable.
+  /// Adds a finding for each error that makes the document unusable.
   void check(Findings &findings) const;
 };
 
--- a/packages/forward/pimentofront/src/Forward/RoutingTable.cpp
+++ b/packages/forward/pimentofront/src/Forward/RoutingTable.cpp
@@ -3,7 +3,8 @@
 namespace pimentofront {
 namespace {
 
-/// \returns the host without its port, in lower case.
+/// \returns the host without its port, in lower case, followed by the space
+/// that separates it from the path prefix in a route's key.
 std::string hostKey(std::string_view host) {
   const std::size_t colon = host.rfind(':');
   std::string key(host.substr(0, colon));
@@ -30,7 +31,8 @@
                                          std::string_view path) const {
   path = path.substr(0, path.find('?'));
   const std::string key = hostKey(host);
-  // Every prefix ends with a slash, so only the path's own slashes count.
+  // Every prefix ends with a slash, so only prefixes of the path that end with
+  // a slash can match.
   for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos;
        slash = path.rfind('/', slash - 1)) {
     const auto it = Routes.find(key + std::string(path.substr(0, slash + 1)));
--- a/packages/forward/pimentofront/src/Forward/RoutingTable.h
+++ b/packages/forward/pimentofront/src/Forward/RoutingTable.h
@@ -10,24 +10,25 @@
 
 /// \class RoutingTable
 /// \ingroup Forward
-/// \brief A routing document, ready for look-ups. Never changes: a request
-/// keeps the table under which it arrived.
+/// \brief An immutable index of a routing document. A request is routed by the
+/// table in force at its arrival, even if a newer table replaces it meanwhile.
 class RoutingTable {
 public:
   /// \pre the document has no findings.
   RoutingTable(Revision at, RoutingDocument document);
 
-  /// \returns the route with the longest prefix of \p path among those of
-  /// \p host, or null.
+  /// \returns the route of \p host with the longest prefix of \p path, or
+  /// null.
   const RouteSpec *findRoute(std::string_view host,
                              std::string_view path) const;
   const ServiceSpec *findService(const ServiceName &name) const;
-  /// \returns the service for a draw from [0, 1), by the weights of the split.
+  /// \returns the service that a uniform random number \p draw from [0, 1)
+  /// selects by the weights of the split.
   static const ServiceName &chooseService(const RouteSpec &route, double draw);
 
-  /// Revision of the configuration with which it came into force.
+  /// Revision of the configuration that put the document in force.
   Revision revision() const { return At; }
-  /// Without its accounts, which stand in accounts().
+  /// The document without its accounts, which accounts() returns.
   const RoutingDocument &document() const { return Document; }
   const AccountTable &accounts() const { return Accounts; }
 
@@ -35,7 +36,8 @@
   Revision At;
   RoutingDocument Document;
   AccountTable Accounts;
-  /// By host and prefix, with a space between, which neither contains.
+  /// Position in the document's routes. The key is host and path prefix, joined
+  /// by a space, which neither of them contains.
   std::unordered_map<std::string, std::size_t> Routes;
   std::unordered_map<ServiceName, std::size_t> Services;
 };
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -88,7 +88,8 @@
 }
 
 void ServerSet::joinAgents() {
-  // A host may run servers of several services; an agent belongs to one service.
+  // A host may run servers of several services; an agent belongs to one
+  // service.
   std::map<std::pair<std::string, ServiceName>, const ServerView *> byPlace;
   for (const auto &[host, it] : Servers)
     for (const ServiceName &service : it.Record.Services)
