--- a/packages/account/pimentofront/Account.h
+++ b/packages/account/pimentofront/Account.h
@@ -2,13 +2,14 @@
 ///
 /// \file
 /// \defgroup Account Account
-/// Who may send requests, and how much. AccountTable finds the client account
-/// that holds a key. AllotmentLedger, at the leader of the replicas, and
-/// AllotmentLeases, at each entry, keep an account below its allotment over the
-/// whole fleet. No I/O: the nodes carry reports and grants between the two.
+/// Authentication and rate limiting of client accounts. AccountTable finds the
+/// client account that holds a key. AllotmentLedger, at the leader of the
+/// replicas, and AllotmentLeases, at each entry, keep an account below its
+/// allotment across the whole fleet. The package does no I/O: the nodes carry
+/// reports and grants between ledger and leases.
 ///
-/// Use the allotment for limits that belong to all entries together. For a
-/// limit of one process, a counter in that process does.
+/// Use an allotment for a limit on all entries together. For a limit on a
+/// single process, a counter in that process is enough.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_ACCOUNT_H
@@ -16,7 +17,7 @@
 
 #include "pimentofront/Wire.h"
 
-// The parts, in the order of their dependencies.
+// Headers in the order of their dependencies.
 // clang-format off
 #include "src/Account/KeyDigest.h"
 #include "src/Account/ClientAccount.h"
--- a/packages/account/pimentofront/src/Account/AccountTable.h
+++ b/packages/account/pimentofront/src/Account/AccountTable.h
@@ -9,18 +9,18 @@
 
 /// \class AccountTable
 /// \ingroup Account
-/// \brief The client accounts of one configuration, ready for look-ups in
-/// constant time. Holds digests of keys, never keys.
+/// \brief The client accounts of one configuration, indexed for lookup in
+/// constant time. Stores digests of keys, never the keys.
 class AccountTable {
 public:
   AccountTable() = default;
   /// \pre checkAccounts() has no findings.
   explicit AccountTable(std::vector<ClientAccount> accounts);
 
-  /// \returns whether requests need a key at all.
+  /// \returns whether requests need a key, which they do if there are accounts.
   bool required() const { return !Accounts.empty(); }
-  /// \returns the account that holds the key, or null. The pointer holds as
-  /// long as the table.
+  /// \returns the account that holds the key, or null. The pointer is valid for
+  /// the lifetime of the table.
   const ClientAccount *findByKey(const KeyDigest &key) const;
   const ClientAccount *find(const AccountName &name) const;
   const std::vector<ClientAccount> &accounts() const { return Accounts; }
--- a/packages/account/pimentofront/src/Account/AllotmentBucket.h
+++ b/packages/account/pimentofront/src/Account/AllotmentBucket.h
@@ -7,17 +7,17 @@
 
 /// \class AllotmentRules
 /// \ingroup Account
-/// \brief How far all entries together may go beyond an allotment.
+/// \brief How far all entries together may exceed an allotment.
 struct AllotmentRules {
   /// In each window of this length an account's requests stay below
   /// (rate x window + burst) x (1 + Overshoot) + Slack.
   Duration Window = std::chrono::seconds(8);
   double Overshoot = 0;
-  /// Units of the allotment.
+  /// In units of the allotment.
   double Slack = 0;
-  /// Units that an entry holds are its own for so long after it last reported.
-  /// A lower limit takes them back in this time, and the units of an entry that
-  /// is gone are lost to the account for as long.
+  /// How long an entry may spend the units that it holds, counted from its last
+  /// report. A reduced limit takes full effect after this time, and the units
+  /// of an entry that has exited are unavailable to the account for as long.
   Duration Lease = std::chrono::seconds(4);
   friend auto operator<=>(const AllotmentRules &,
                           const AllotmentRules &) = default;
@@ -27,35 +27,36 @@
 /// \ingroup Account
 /// \brief The two token buckets of one account.
 ///
-/// The account's own one, of its rate and burst, says what it may send. The
-/// other one, from Floor to Top, says what the rules still allow over all
-/// entries, whatever fails: all that entries hold has been taken of it. It lets
-/// (Top - Floor) + rate x window through in any window, and what a fresh ledger
-/// starts with above Floor besides. Both stay below the bound of the rules: one
-/// half of the error that these allow is for the bucket, so that units which
-/// entries hold keep nobody from its burst, the other one for a fresh ledger,
-/// once a window.
+/// The account's own bucket, with its rate and burst, limits what the account
+/// may send. The second bucket, with levels from Floor to Top, limits what all
+/// entries together may send under any failure: units that entries hold are
+/// already subtracted from it. In any window it lets through
+/// (Top - Floor) + rate x window, plus what a new ledger starts with above
+/// Floor. The sum does not exceed the bound of AllotmentRules. One half of the
+/// error that the rules allow is used to size the second bucket, so that units
+/// held by entries don't reduce the account's burst; the other half is reserved
+/// for a new ledger, at most once a window.
 struct AllotmentBucket {
   /// Units a second.
   double Rate = 0;
   double Burst = 0;
   double Top = 0;
-  /// Not above 0.
+  /// Lowest level; not above 0.
   double Floor = 0;
-  /// Level at which a fresh ledger may start, once a window.
+  /// Level at which a new ledger may start, at most once a window.
   double FreshLevel = 0;
   friend auto operator<=>(const AllotmentBucket &,
                           const AllotmentBucket &) = default;
 
   static AllotmentBucket of(const Allotment &allotment,
                             const AllotmentRules &rules);
-  /// \returns what the account's own bucket must have for \p units. A request
-  /// that is larger than the burst has to find it full.
+  /// \returns the level of the account's own bucket at which \p units may be
+  /// granted. A request larger than the burst requires a full bucket.
   double ownFor(double units) const;
-  /// \returns the level at which the rules allow \p units.
+  /// \returns the level of the second bucket at which the rules allow \p units.
   double levelFor(double units) const;
-  /// \returns the units that may be lent in advance while \p level is left: the
-  /// burst stays for those that ask.
+  /// \returns the units that may be granted in advance at \p level. The burst
+  /// is reserved for requests that ask for their units.
   double toLend(double level) const;
 };
 
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
@@ -11,7 +11,8 @@
   return static_cast<std::uint64_t>(std::ceil(std::max(units, 0.0)));
 }
 
-/// Questions that are remembered; answers to older ones come too late anyway.
+/// Maximum number of reports whose answers are awaited. Answers to older
+/// reports arrive too late to be of use.
 constexpr std::size_t MostQuestions = 256;
 
 } // namespace
@@ -43,11 +44,11 @@
 }
 
 double AllotmentLeases::wanted(TimePoint now, const Lease &lease) const {
-  // What hasn't been used for a few half-lives is given back.
+  // Units that haven't been used for a few half-lives are returned.
   constexpr int HalfLivesRemembered = 3;
   if (now >= lease.UsedAt + HalfLivesRemembered * Options.UseHalfLife)
     return 0;
-  // Less than a request is of no use to anybody.
+  // Units for less than one request are of no use.
   const double units = lease.Use * toSeconds(Options.Horizon);
   return units >= lease.UsualUnits ? units : 0;
 }
@@ -55,7 +56,8 @@
 AllotmentCharge AllotmentLeases::take(TimePoint now, std::uint64_t key,
                                       const ClientAccount &account,
                                       double units) {
-  assert(account.Limit.limited() && "an account without a limit costs nothing");
+  assert(account.Limit.limited() &&
+         "the account has no limit, so no units are taken for it");
   Lease &lease = Leases[account.Name];
   lease.Rate = account.Limit.PerSecond;
   endIfOver(now, lease);
@@ -80,7 +82,7 @@
     return;
   charge.Now = AllotmentCharge::State::None;
   const auto it = Leases.find(charge.Account);
-  // The units of a lease that has ended count as spent at the ledger.
+  // The ledger already counts the units of an ended lease as spent.
   if (it == Leases.end() || charge.Epoch != it->second.Epoch)
     return;
   Lease &lease = it->second;
@@ -190,7 +192,7 @@
   Lease &lease = it->second;
   endIfOver(now, lease);
   if (grant.Decided && lease.Ledger != grants.Ledger) {
-    // Another ledger doesn't know of what the former one lent.
+    // A new ledger doesn't know the units that the former one granted.
     end(lease);
     lease.Ledger = grants.Ledger;
   }
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.h
@@ -12,52 +12,53 @@
 /// \class AllotmentLeaseOptions
 /// \ingroup Account
 struct AllotmentLeaseOptions {
-  /// Of the entry's process.
+  /// Host and incarnation of the entry's process.
   HostName Host;
   std::uint64_t Incarnation = 0;
-  /// What was spent and what is held is reported this often, all accounts in
-  /// one message.
+  /// Interval between reports of the units spent and held. One message covers
+  /// all accounts.
   Duration ReportPeriod = std::chrono::seconds(1);
-  /// The leader that doesn't answer a question in this time is asked again: a
-  /// change of leader is known by then.
+  /// If the leader doesn't answer a query within this time, the query is sent
+  /// again: a change of leader is known by then.
   Duration AskTimeout = std::chrono::milliseconds(400);
-  /// Between two tries to find a leader who decides.
+  /// Delay between two attempts to find a leader that decides.
   Duration AskPause = std::chrono::milliseconds(100);
-  /// An entry would like to hold what it uses in this time.
+  /// An entry asks to hold as many units as it uses in this time.
   Duration Horizon = std::chrono::seconds(2);
-  /// What an account used is remembered with this half-life.
+  /// Half-life of the moving average of an account's usage.
   Duration UseHalfLife = std::chrono::seconds(4);
 };
 
 /// \class AllotmentCharge
 /// \ingroup Account
-/// \brief The units of one request.
+/// \brief The units charged for one request.
 struct AllotmentCharge {
   enum class State : std::uint8_t {
-    /// The account has no limit, or the units are accounted for.
+    /// The account has no limit, or the units have been spent or released.
     None,
-    /// The ledger is being asked.
+    /// Waiting for the ledger's decision.
     Asked,
-    /// Set aside: the request may be sent.
+    /// The units are reserved: the request may be sent.
     Reserved,
   };
   State Now = State::None;
   AccountName Account;
   double Units = 0;
-  /// Lease of which the units come.
+  /// Epoch of the lease from which the units were taken.
   std::uint64_t Epoch = 0;
   friend auto operator<=>(const AllotmentCharge &,
                           const AllotmentCharge &) = default;
 };
 
-/// What the ledger says of a request that waited for its units.
+/// The ledger's decision on a request that waited for its units.
 struct AllotmentDecision {
   std::uint64_t Key = 0;
-  /// Reserved for one that was granted, else none.
+  /// In the state Reserved if the request was granted, else None.
   AllotmentCharge Charge;
-  /// When the units will be there, for one that is beyond the limit.
+  /// Retry-after delay of a request beyond the limit: the time until its units
+  /// are available.
   Duration ComeBack = Duration::zero();
-  /// What the account had left, and how long ago the ledger was asked.
+  /// Units that the account had left, and how long ago the ledger was asked.
   std::uint64_t Level = 0;
   Duration Age = Duration::zero();
   friend auto operator<=>(const AllotmentDecision &,
@@ -70,75 +71,79 @@
 
 /// \class AllotmentLeases
 /// \ingroup Account
-/// \brief The units of accounts that one entry may spend, lent by the ledger.
+/// \brief The units of each account that the ledger has leased to one entry.
 ///
-/// A request takes its units before it is sent anywhere. They are spent when a
-/// server may have run it, and free again when it certainly wasn't run. Units
-/// are lost with their lease, which runs from the sending of the report that
-/// was answered, by this process's own clock: one that slept has none.
+/// A request reserves its units before it is sent to any server. The units are
+/// spent once a server may have run the request, and released if it certainly
+/// wasn't run. Units expire with their lease. The lease starts when the report
+/// that the ledger answered was sent, by the clock of this process, so a
+/// process that was suspended for longer than a lease holds no units.
 class AllotmentLeases {
 public:
   explicit AllotmentLeases(const AllotmentLeaseOptions &options)
       : Options(options) {}
 
-  /// Sets the units of a request aside, or asks for them; then onGrants() names
-  /// \p key.
+  /// Reserves the units of a request, or queues a query for them; onGrants()
+  /// then returns the decision under \p key.
   /// \pre the account's allotment is limited.
   AllotmentCharge take(TimePoint now, std::uint64_t key,
                        const ClientAccount &account, double units);
-  /// A server may have run the request.
+  /// Spends the reserved units, since a server may have run the request.
   void spend(AllotmentCharge &charge);
-  /// It surely wasn't run, and won't be.
+  /// Releases the units, since the request wasn't run and won't be.
   void release(TimePoint now, std::uint64_t key, AllotmentCharge &charge);
-  /// A request whose units are spent is sent once more, which is never
-  /// refused: what isn't there is owed to the ledger.
+  /// Spends the units of a request that is sent again after its units were
+  /// spent. This is never refused: units beyond those held are reported as
+  /// spent, too, and the ledger subtracts them from the account's level.
   void spendAgain(TimePoint now, const ClientAccount &account, double units);
 
-  /// \returns whether takeReport() may have something.
+  /// \returns whether takeReport() may return a report.
   bool wantsReport(TimePoint now) const {
     return !Leases.empty() && (Urgent || now >= NextReportAt);
   }
-  /// \returns what to tell the leader now, if anything.
+  /// \returns the report to send to the leader now, if one is due.
   std::optional<AllotmentReport> takeReport(TimePoint now);
-  /// \returns what was decided on requests that waited.
+  /// \returns the decisions on requests that waited for units.
   std::vector<AllotmentDecision> onGrants(TimePoint now,
                                           const AllotmentGrants &grants);
-  /// Whatever was asked on the link has to be asked again.
+  /// Marks the queries that were sent on the link to be sent again.
   void onLinkLost();
-  /// \returns whether a question has gone without an answer for too long.
+  /// \returns whether a query on which a request waits has had no answer within
+  /// AskTimeout.
   bool unanswered(TimePoint now) const;
 
 private:
   struct Waiting {
     std::uint64_t Key = 0;
     double Units = 0;
-    /// The report with which it was asked; 0 for none.
+    /// Nonce of the report that asked for the units; 0 for none.
     std::uint64_t Nonce = 0;
   };
   struct Lease {
-    /// The account's, in units a second.
+    /// The account's rate limit, in units a second.
     double Rate = 0;
-    /// The ledger that lent the units.
+    /// Id of the ledger that granted the units.
     std::uint64_t Ledger = 0;
-    /// Counts the leases, so that units of an ended one aren't given back.
+    /// Number of the lease. Units reserved under a lease that has ended must
+    /// not be returned to the current one.
     std::uint64_t Epoch = 1;
     TimePoint ExpiresAt;
     double Free = 0;
     double Reserved = 0;
-    /// Not reported yet.
+    /// Units spent that haven't been reported yet.
     double Spent = 0;
     std::deque<Waiting> Queue;
     TimePoint NextAskAt;
-    /// Units a second, lately.
+    /// Moving average of the usage, in units a second.
     double Use = 0;
-    /// Units of a usual request.
+    /// Moving average of the units of one request.
     double UsualUnits = 0;
     TimePoint UsedAt;
   };
-  /// A report that hasn't been answered.
+  /// A report without an answer so far.
   struct Question {
     TimePoint AskedAt;
-    /// Some request waits for the answer.
+    /// Whether a request waits for the answer.
     bool Waits = false;
   };
 
@@ -146,7 +151,7 @@
   static void end(Lease &lease);
   void forgetUnused(TimePoint now);
   void noteUse(TimePoint now, Lease &lease, double units) const;
-  /// \returns the units to hold for requests to come.
+  /// \returns the number of units to hold for future requests.
   double wanted(TimePoint now, const Lease &lease) const;
   std::optional<AllotmentUse> useOf(TimePoint now, const AccountName &name,
                                     Lease &lease, std::uint64_t nonce,
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
@@ -6,7 +6,8 @@
 namespace pimentofront {
 namespace {
 
-/// Those who are told to come back spread over so long at most.
+/// Upper bound on the time over which the retry-after delays of refused
+/// requests are spread.
 constexpr double MostPromisedSeconds = 3;
 constexpr Duration SweepPeriod = std::chrono::seconds(1);
 
@@ -89,7 +90,7 @@
   account.Lent -= returned;
   account.Level += returned;
   account.Own = std::min(account.Own + returned, account.Bucket.Burst);
-  // A request that ran once more may have spent what wasn't lent.
+  // A request that was sent again may have spent more units than were leased.
   const double lent = std::min(spent, lease.Units);
   lease.Units -= lent;
   account.Lent -= lent;
@@ -143,7 +144,7 @@
   for (const AllotmentUse &use : report.Uses) {
     Account *account = find(now, use.Account);
     if (!account) {
-      // No limit, or no longer: all that is asked for.
+      // The account has no limit, or none any more: grant all units asked for.
       AllotmentGrant all{.Account = use.Account,
                          .Decided = Limits.required(),
                          .Met = static_cast<std::uint32_t>(use.Needs.size())};
@@ -170,8 +171,9 @@
   if (now < NextSweep)
     return;
   NextSweep = now + SweepPeriod;
-  // A fresh account's level is reckoned from the ledger's beginning, so only
-  // one that would be full by that, too, may be forgotten.
+  // An account that is added again starts with the level that its bucket would
+  // have reached since the ledger started. So only an account whose bucket
+  // would be full by that rule, too, may be dropped.
   const double age = toSeconds(now - BeganAt);
   for (auto &[name, it] : Accounts) {
     fill(now, it);
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.h
@@ -10,31 +10,34 @@
 
 /// \class AllotmentLedger
 /// \ingroup Account
-/// \brief Keeps each account below its allotment, over all entries: it lends
-/// them units from one token bucket an account.
+/// \brief Keeps each account below its allotment across all entries, by leasing
+/// them units from the account's token buckets.
 ///
-/// Only the leader of the replicas keeps one, under its lease, so there is one
-/// at any time. It is soft state. What a former ledger lent stays in force for
-/// a lease, so a fresh one starts with what the rules leave for that, and with
-/// nothing where it can't tell how long ago the former one started. Units that
-/// an entry doesn't give back in time count as spent.
+/// Only the leader of the replicas runs a ledger, and only while it holds its
+/// leader lease, so at most one ledger is active at any time. A ledger is soft
+/// state. The units that a former ledger granted remain valid for one lease, so
+/// a new ledger starts at the level that the rules reserve for a change of
+/// ledger (AllotmentBucket::FreshLevel). It starts with an empty bucket if it
+/// can't tell how long ago the former ledger started. Units that an entry
+/// doesn't return before its lease expires count as spent.
 ///
-/// Accounts without a limit cost nothing, and those of whom nothing was heard
-/// since their bucket was full are forgotten.
+/// Accounts without a limit have no bucket. An account whose bucket is full and
+/// of which no units are leased is dropped.
 class AllotmentLedger {
 public:
   /// \param sizing outlives the ledger.
   AllotmentLedger(const AllotmentRules &rules, const LeaseSizing &sizing)
       : Rules(rules), Sizing(sizing) {}
 
-  /// Begins anew under \p id, which no ledger had before.
-  /// \param lastLongAgo no other ledger began within the last window and lease.
+  /// Resets the ledger and gives it \p id, which no other ledger has had.
+  /// \param lastLongAgo whether no other ledger started within the last window
+  /// plus lease.
   void begin(TimePoint now, std::uint64_t id, bool lastLongAgo);
-  /// The accounts that are in force.
+  /// Replaces the accounts that are in force.
   void setAccounts(TimePoint now, AccountTable accounts);
   AllotmentGrants onReport(TimePoint now, const AllotmentReport &report);
 
-  /// \returns the first accounts in force, at most \p most.
+  /// \returns the status of the first \p most accounts in force.
   std::vector<AccountStatus> status(TimePoint now, std::size_t most);
 
 private:
@@ -44,28 +47,29 @@
   };
   struct Account {
     AllotmentBucket Bucket;
-    /// What the rules still allow, of which all that is lent has been taken.
+    /// Units that the rules still allow across all entries. Leased units are
+    /// already subtracted.
     double Level = 0;
-    /// What the allotment itself still allows to those who ask. What is lent in
-    /// advance is bounded by Level alone.
+    /// Units that the allotment itself still allows, for requests that ask for
+    /// their units. Units granted in advance are limited by Level alone.
     double Own = 0;
     TimePoint FilledAt;
-    /// By the incarnation of the entry's process.
+    /// Leases by the incarnation of the entry's process.
     std::map<std::uint64_t, Lease> Leases;
     double Lent = 0;
     TimePoint NextExpiry;
-    /// Units that those who were told to come back will want.
+    /// Units that refused requests will ask for after their retry-after delay.
     double Promised = 0;
     double Granted = 0;
     std::uint64_t Refused = 0;
 
-    /// \returns the units that have to come before a request may have its own;
-    /// none if it may now.
+    /// \returns the units by which the buckets have to fill before a request
+    /// for \p need units can be granted; not above 0 if it can be granted now.
     double missingFor(double need) const;
   };
 
-  /// \returns the account, with its bucket filled up to now; null if it has no
-  /// limit.
+  /// \returns the account, with its buckets filled up to \p now; null if it has
+  /// no limit.
   Account *find(TimePoint now, const AccountName &name);
   void fill(TimePoint now, Account &account) const;
   static void expire(TimePoint now, Account &account);
--- a/packages/account/pimentofront/src/Account/ClientAccount.cpp
+++ b/packages/account/pimentofront/src/Account/ClientAccount.cpp
@@ -10,7 +10,7 @@
   return "/accounts/" + std::to_string(account) + "/" + field;
 }
 
-/// Account, by its position in the list, that holds a key.
+/// Maps a key to the position in the list of the account that holds it.
 using KeyHolders = std::unordered_map<KeyDigest, std::size_t>;
 
 void checkKeys(const std::vector<ClientAccount> &accounts, std::size_t i,
--- a/packages/account/pimentofront/src/Account/ClientAccount.h
+++ b/packages/account/pimentofront/src/Account/ClientAccount.h
@@ -11,7 +11,7 @@
 /// What an allotment counts.
 enum class AllotmentUnit : std::uint8_t {
   Request,
-  /// Tokens of the prompt, and the most that may be generated.
+  /// Tokens of the prompt plus the maximum that may be generated.
   Token,
 };
 
@@ -20,16 +20,17 @@
 /// \brief How much a client account may send, over all entries together.
 struct Allotment {
   AllotmentUnit Unit = AllotmentUnit::Request;
-  /// Units a second; 0 stands for no limit.
+  /// Units a second; 0 means no limit.
   double PerSecond = 0;
-  /// Units that may be saved up.
+  /// Maximum number of unused units that accumulate.
   double Burst = 0;
-  /// What a request counts that doesn't tell its tokens.
+  /// Units of a request that doesn't state its tokens.
   double PlainTokens = 0;
   friend auto operator<=>(const Allotment &, const Allotment &) = default;
 
   bool limited() const { return PerSecond > 0; }
-  /// \returns the units of a request with \p tokens, if it tells them.
+  /// \returns the units of a request. \p tokens is empty if the request doesn't
+  /// state them.
   double unitsOf(std::optional<double> tokens) const;
 };
 
@@ -39,20 +40,20 @@
 /// its keys.
 struct ClientAccount {
   AccountName Name;
-  /// None: nobody may send under its name any more.
+  /// Digests of its keys; if empty, the account can't send requests any more.
   std::vector<KeyDigest> Keys;
-  /// Goes before the priority of a route; 0 is the most urgent.
+  /// Overrides the priority of the route; 0 is the most urgent.
   std::optional<std::uint32_t> Priority;
   Allotment Limit;
-  /// Its requests may be served in these regions only; none: everywhere.
+  /// Regions in which its requests may be served; empty means all regions.
   std::vector<RegionName> Regions;
   friend auto operator<=>(const ClientAccount &,
                           const ClientAccount &) = default;
 };
 
-/// Adds a finding for each thing that makes the accounts unusable: a name that
-/// is missing or stands twice, a key that two accounts hold. No finding names
-/// a key.
+/// Adds a finding for each error that makes the accounts unusable: a name that
+/// is missing or occurs twice, or a key that two accounts hold. No finding
+/// contains a key.
 void checkAccounts(const std::vector<ClientAccount> &accounts,
                    Findings &findings);
 
--- a/packages/account/pimentofront/src/Account/KeyDigest.h
+++ b/packages/account/pimentofront/src/Account/KeyDigest.h
@@ -7,15 +7,16 @@
 
 /// \class KeyDigest
 /// \ingroup Account
-/// \brief Stands for a client account's key, which is a secret: the key itself
-/// is in no table, log line, metric or error. Compares in constant time.
+/// \brief Digest that represents a client account's key, which is a secret: the
+/// key itself never appears in a table, log line, metric or error. Compares in
+/// constant time.
 class KeyDigest {
 public:
   KeyDigest() = default;
   /// \returns the digest of \p key.
   static KeyDigest of(std::string_view key);
 
-  /// \returns the first digits, by which operators tell keys apart.
+  /// \returns the first 8 digits, which let operators tell keys apart.
   std::string shortText() const;
   std::size_t bucket() const { return Digest.Low; }
   friend bool operator==(const KeyDigest &a, const KeyDigest &b);
--- a/packages/account/pimentofront/src/Account/LeaseSizing.h
+++ b/packages/account/pimentofront/src/Account/LeaseSizing.h
@@ -7,21 +7,22 @@
 
 /// \class LeaseSizing
 /// \ingroup Account
-/// \brief How many units an entry gets beyond what it needs at once.
+/// \brief Strategy that decides how many units an entry is granted in advance,
+/// beyond those that its waiting requests need.
 class LeaseSizing {
 public:
   virtual ~LeaseSizing() = default;
-  /// \param wished what the entry would like to hold for the requests to come.
-  /// \param level what the bucket has left after the needs at hand.
-  /// \returns units, not above \p level.
+  /// \param wished units that the entry asks to hold for future requests.
+  /// \param level units that the bucket has left after the current needs.
+  /// \returns the units to grant, not above \p level.
   virtual double advance(const AllotmentBucket &bucket, double wished,
                          double level) const = 0;
 };
 
 /// \class ExactLeases
 /// \ingroup Account
-/// \brief Nothing in advance: the ledger is asked for each request. Never holds
-/// units where nobody needs them.
+/// \brief Grants no units in advance: the entry asks the ledger for each
+/// request. No entry ever holds units that it doesn't need.
 class ExactLeases : public LeaseSizing {
 public:
   double advance(const AllotmentBucket &bucket, double wished,
@@ -30,9 +31,10 @@
 
 /// \class LeasesByUse
 /// \ingroup Account
-/// \brief What an entry is about to use, by its recent use, while the account
-/// is far from its limit: its requests then wait for nobody, and go on for a
-/// while when the leader is away. Near the limit each request is asked for.
+/// \brief Grants in advance the units that an entry will use soon, estimated
+/// from its recent usage, while the account is far from its limit. Its requests
+/// then don't wait for the ledger, and are served for a while without a leader.
+/// Near the limit, the entry asks the ledger for each request.
 class LeasesByUse : public LeaseSizing {
 public:
   double advance(const AllotmentBucket &bucket, double wished,
