--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.h
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.h
@@ -55,7 +55,8 @@
 class ConnectionShare {
 public:
   /// \param cap connections that the server accepts; 0 if unknown, which sets
-  /// no limit. \returns the share of this entry, one of \p entries.
+  /// no limit.
+  /// \returns the share of this entry, one of \p entries.
   ConnectionPart part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
                       const ConnectionShareOptions &options) const;
   /// Records that the server rejected a connection, and cuts the share.
--- a/test/AccountTest.cpp
+++ b/test/AccountTest.cpp
@@ -19,7 +19,7 @@
   return findings.toText();
 }
 
-/// An entry whose document has accounts.
+/// An entry whose routing document contains client accounts.
 struct AccountsUnderTest : ForwardUnderTest {
   explicit AccountsUnderTest(std::vector<ClientAccount> accounts = {
                                  account("shop", {"k1", "k2"}),
@@ -47,7 +47,8 @@
 
 } // namespace
 
-TEST_CASE("accounts are checked whole and no finding names a key") {
+TEST_CASE(
+    "checking accounts reports every error and no finding contains a key") {
   CHECK(findingsOf({account("a", {"k1", "k1"}), account("b", {"k2"})}).empty());
   CHECK(findingsOf({account("a", {}), account("b", {"k2"})}).empty());
   const std::string shared = findingsOf(
@@ -61,7 +62,7 @@
             .find("/accounts/1/name") != std::string::npos);
 }
 
-TEST_CASE("a key is found among 100,000 accounts") {
+TEST_CASE("a key is looked up among 100,000 accounts") {
   constexpr int Many = 100'000;
   std::vector<ClientAccount> accounts;
   accounts.reserve(Many);
@@ -74,8 +75,8 @@
   CHECK(table.find(AccountName("a5"))->Keys.front() == KeyDigest::of("k5"));
 }
 
-TEST_CASE("a server gets the account's name, whatever the caller sent, and "
-          "never the key") {
+TEST_CASE("a backend server receives the account's name regardless of the "
+          "caller's headers, and never the key") {
   AccountsUnderTest it;
   it.call("once", {{"key", "k2"}, {"account", "club"}});
   const SendUpstream sent = it.only<SendUpstream>();
@@ -85,7 +86,7 @@
     CHECK(event.Detail.find("k2") == std::string::npos);
 }
 
-TEST_CASE("a public route needs no key and names no account") {
+TEST_CASE("a public route requires no key and forwards no account name") {
   AccountsUnderTest it;
   it.call("safe", {{"key", "k2"}, {"account", "club"}});
   const SendUpstream sent = it.only<SendUpstream>();
@@ -93,8 +94,8 @@
   CHECK_FALSE(findHeader(sent.Head.Headers, "key"));
 }
 
-TEST_CASE("a request without a known key is refused by the newest "
-          "configuration alone") {
+TEST_CASE("a request without a known key is refused only by an entry that "
+          "has the newest configuration") {
   AccountsUnderTest it;
   SECTION("an unknown key") {
     it.call("once", {{"key", "k9"}});
@@ -104,19 +105,21 @@
     it.call("once", {});
     CHECK(it.refusal() == 401);
   }
-  SECTION("the key of an account that has none any more") {
+  SECTION("a key that was removed from its account") {
     it.useAccounts({account("shop", {}), account("club", {"k3"})}, 3);
     it.call("once", {{"key", "k1"}});
     CHECK(it.refusal() == 401);
   }
-  SECTION("a copy that may be old waits, and is told so in the end") {
+  SECTION("with a possibly stale configuration the request waits, then is "
+          "refused as unavailable") {
     it.Configuration.Confirmed = false;
     it.call("once", {{"key", "k9"}});
     CHECK(it.take<ReplyWhole>().empty());
     it.Controller.tick(Now + 1700ms);
     CHECK(it.refusal() == 503);
   }
-  SECTION("a copy that may be old finds the key in a newer one") {
+  SECTION(
+      "with a possibly stale configuration the key is found in a newer one") {
     it.Configuration.Confirmed = false;
     it.call("once", {{"key", "k9"}});
     it.useAccounts({account("club", {"k9"})}, 3);
@@ -127,7 +130,9 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE("a key holds for the revocation bound after the copy was confirmed") {
+TEST_CASE(
+    "a key is accepted for the revocation bound after the last confirmation "
+    "of the configuration") {
   const Duration bound = GENERATE(500ms, 2s, 5s, 30s);
   NoAdapters configuration;
   testkit::PlainHeaders headers;
@@ -145,7 +150,7 @@
                              .Members = {server("p1", "plain", "1.0.0.1:80")}});
   const auto sendsAt = [&](std::optional<Duration> age) {
     configuration.Age = age;
-    // Cut off for longer than the lease of a confirmation.
+    // The entry has been cut off for longer than a confirmation is valid.
     configuration.Confirmed = false;
     controller.onRequest(
         Now, 1,
@@ -169,7 +174,7 @@
   };
   CHECK(sendsAt(Duration::zero()));
   CHECK(sendsAt(bound * 98 / 100));
-  // Whatever the clock of this host lost against others.
+  // The margin allows for a clock of this host that runs slow against others.
   CHECK_FALSE(sendsAt(bound * 999 / 1000 + 1us));
   CHECK_FALSE(sendsAt(bound));
   CHECK_FALSE(sendsAt(std::nullopt));
@@ -181,16 +186,17 @@
   CHECK_FALSE(readyAt(bound * 6 / 10));
 }
 
-TEST_CASE("an entry that can't read the newest document serves no keys") {
+TEST_CASE(
+    "an entry that can't read the newest routing document accepts no keys") {
   AccountsUnderTest it;
   it.Controller.setTableOutdated();
   it.call("once", {{"key", "k1"}});
   CHECK(it.refusal() == 503);
   it.call("once", {{"key", "k9"}}, 2);
-  CHECK(it.take<ReplyWhole>().empty()); // No 401 by it, either.
+  CHECK(it.take<ReplyWhole>().empty()); // It doesn't answer 401, either.
 }
 
-TEST_CASE("an account's priority goes before its route's") {
+TEST_CASE("an account's priority overrides the priority of the route") {
   ClientAccount urgent = account("shop", {"k1"});
   urgent.Priority = 0;
   RoutingDocument document;
@@ -204,7 +210,8 @@
       std::to_string(other.Controller.board().Requests.at(1).Route->Priority));
 }
 
-TEST_CASE("one account can't have another's requests set aside") {
+TEST_CASE(
+    "one account can't cause the quarantine of another account's requests") {
   AccountsUnderTest it;
   it.call("once", {{"key", "k1"}}, 1);
   it.call("once", {{"key", "k3"}}, 2);
@@ -213,10 +220,10 @@
     return it.Controller.board().Requests.at(key).Content;
   };
   CHECK(contentOf(1) != contentOf(2));
-  CHECK(contentOf(1) == contentOf(3)); // Two keys of one account.
+  CHECK(contentOf(1) == contentOf(3)); // Two keys of the same account.
 }
 
-TEST_CASE("a limited account's request waits for its units") {
+TEST_CASE("a request of a rate-limited account waits for its units") {
   ClientAccount limited = account("shop", {"k1"});
   limited.Limit = {.Unit = AllotmentUnit::Token,
                    .PerSecond = 1000,
@@ -229,19 +236,20 @@
   REQUIRE(report);
   CHECK(report->Uses.front().Needs == std::vector<std::uint64_t>{900});
   AllotmentGrants grants{.Nonce = report->Nonce, .Ledger = 4, .Lease = 4s};
-  SECTION("and is sent with them") {
+  SECTION("and is sent once they are granted") {
     grants.Grants = {
         {.Account = limited.Name, .Decided = true, .Met = 1, .Units = 1100}};
     it.Controller.onAllotmentGrants(Now, grants);
     it.only<SendUpstream>();
-    // What came beside is there for the next one, which tells no tokens.
+    // The units granted in advance cover the next request, which doesn't state
+    // its tokens.
     it.call("once", {{"key", "k1"}}, 2);
     it.only<SendUpstream>();
     it.call("once", {{"key", "k1"}}, 3);
     CHECK(it.take<SendUpstream>().empty());
   }
-  SECTION("and is refused beyond the limit, with the time at which they are "
-          "there") {
+  SECTION("and is refused beyond the limit, with the time until they are "
+          "available") {
     grants.Grants = {
         {.Account = limited.Name, .Decided = true, .ComeBack = 700ms}};
     it.Controller.onAllotmentGrants(Now, grants);
@@ -250,11 +258,12 @@
     CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) >= 350'000);
     CHECK(it.take<SendUpstream>().empty());
   }
-  SECTION("and isn't said to be beyond the limit when nobody decides") {
+  SECTION("and is refused as unavailable, not as beyond the limit, when no "
+          "ledger decides") {
     it.Controller.tick(Now + 1700ms);
     CHECK(it.refusal() == 503);
   }
-  SECTION("and asks for nothing once its caller has left") {
+  SECTION("and asks for no units once its caller has disconnected") {
     it.Controller.onCallerGone(Now, 1);
     it.Controller.onLedgerLinkLost(Now);
     CHECK_FALSE(it.Controller.takeAllotmentReport(Now + 500ms));
--- a/test/AllotmentTest.cpp
+++ b/test/AllotmentTest.cpp
@@ -15,7 +15,7 @@
   return static_cast<std::size_t>(draw.uniform() * static_cast<double>(n));
 }
 
-/// What a fleet is and how it is treated in one schedule.
+/// Size, limits and load of a simulated fleet in one schedule.
 struct FleetOptions {
   std::size_t Entries = 28;
   AllotmentRules Rules{.Window = 8s, .Overshoot = 0.1, .Slack = 110'000};
@@ -23,10 +23,10 @@
                   .PerSecond = 29'000,
                   .Burst = 29'000,
                   .PlainTokens = 200};
-  /// What the callers of the account send, as a share of its rate.
+  /// Load of the account's callers, as a multiple of its rate.
   double Load = 0.55;
   double UnitsOfRequest = 9200;
-  /// Requests may turn out not to have run, or run once more.
+  /// Share of the requests that turn out not to have run.
   double NotRunShare = 0;
   Duration Latency = 2ms;
   std::uint64_t Seed = 1;
@@ -35,20 +35,20 @@
 struct FleetResult {
   std::size_t Sent = 0;
   std::size_t Refused = 0;
-  /// Of these, such as one bucket of the account's rate and burst, into which
-  /// all callers looked at once, would have let in.
+  /// Refused requests that a single token bucket with the account's rate and
+  /// burst, shared by all callers without delay, would have admitted.
   std::size_t RefusedBelowLimit = 0;
   std::size_t Waited = 0;
   std::size_t Messages = 0;
-  /// Of reports and answers, encoded.
+  /// Encoded size of reports and answers.
   std::size_t Bytes = 0;
   double Units = 0;
-  /// The most units that ran within one window.
+  /// Maximum number of units that ran within one window.
   double MostInWindow = 0;
 };
 
-/// A ledger, the entries that hold its units, and one account's callers, in
-/// virtual time.
+/// Simulates a ledger, the entries that lease its units and the callers of one
+/// account, in virtual time.
 class Fleet {
 public:
   Fleet(const FleetOptions &options, const LeaseSizing &sizing)
@@ -60,7 +60,8 @@
     elect(Start - 1h, /*lastLongAgo=*/true);
   }
 
-  /// Another replica leads; the units of the former ledger stay lent.
+  /// Makes another replica the leader. Units that the former ledger granted
+  /// remain leased.
   void elect(TimePoint now, bool lastLongAgo) {
     Ledger = std::make_unique<AllotmentLedger>(Options.Rules, Sizing);
     Ledger->begin(now, ++Term, lastLongAgo);
@@ -95,7 +96,7 @@
     std::uint64_t Incarnation = 0;
     std::unique_ptr<AllotmentLeases> Leases;
     std::vector<Charged> UnderWay;
-    /// Whether the reference has let the request in.
+    /// Whether the reference bucket admitted the request, by its key.
     std::map<std::uint64_t, bool> Waiting;
     std::size_t Callers = 0;
     bool Cut = false;
@@ -169,7 +170,7 @@
     entry.UnderWay.push_back({charge, now});
   }
 
-  /// Some hundred milliseconds later a server has begun, or said no.
+  /// After BeginAfter, a server has started the request or declined it.
   void settle(TimePoint now, Entry &entry) {
     constexpr Duration BeginAfter = 300ms;
     std::erase_if(entry.UnderWay, [&](Charged &it) {
@@ -179,7 +180,8 @@
         entry.Leases->release(now, 0, it.Charge);
         return true;
       }
-      // It counts from when it was let in: its caller sent it before.
+      // The request counts from the time of its admission, since its caller had
+      // sent it by then.
       noteRun(it.SentAt, it.Charge.Units);
       entry.Leases->spend(it.Charge);
       return true;
@@ -212,7 +214,8 @@
   }
 
   void onGrants(TimePoint now, Entry &entry, const AllotmentGrants &grants) {
-    // A frozen process reads it when it wakes; it is as good as lost.
+    // A suspended process reads the grants only after it resumes, when they are
+    // no longer of use.
     if (entry.Frozen)
       return;
     for (const AllotmentDecision &it : entry.Leases->onGrants(now, grants)) {
@@ -228,7 +231,7 @@
   }
 
 public:
-  /// Reckons the fullest window of all that ran.
+  /// \returns the maximum number of units that ran in any window.
   double mostInWindow(Duration window) {
     std::ranges::sort(Runs);
     double sum = 0;
@@ -267,7 +270,7 @@
 
 constexpr Duration Step = 5ms;
 
-/// \returns the most that the rules allow in one window.
+/// \returns the maximum number of units that the rules allow in one window.
 double bound(const FleetOptions &options) {
   const double window = toSeconds(options.Rules.Window);
   return (options.Limit.PerSecond * window + options.Limit.Burst) *
@@ -280,8 +283,9 @@
     fleet.step(now, Step);
 }
 
-/// Kills, cuts, freezes and restarts at random; one change of leader in a
-/// window at most, unless the new one can't tell how long the former one led.
+/// Kills leaders and cuts off, suspends and restarts entries at random. The
+/// leader changes at most once a window, unless the new leader can't tell how
+/// long ago the former one started.
 void playTroubled(Fleet &fleet, Duration d) {
   Random &draw = fleet.draw();
   TimePoint lastElection = Start - 1h;
@@ -309,7 +313,7 @@
 
 } // namespace
 
-TEST_CASE("no window is ever over the allotment, whatever fails") {
+TEST_CASE("no window exceeds the allotment under any failure") {
   const LeasesByUse byUse;
   const ExactLeases exact;
   const auto seed = static_cast<std::uint64_t>(GENERATE(range(1, 101)));
@@ -325,7 +329,8 @@
   CHECK(fleet.mostInWindow(options.Rules.Window) <= bound(options));
 }
 
-TEST_CASE("10,000 random schedules keep the window", "[.][long]") {
+TEST_CASE("no window exceeds the allotment in 10,000 random schedules",
+          "[.][long]") {
   const LeasesByUse byUse;
   for (std::uint64_t seed = 1000; seed < 11'000; ++seed) {
     FleetOptions options{.Entries = 3 + seed % 12, .Load = 6, .Seed = seed};
@@ -339,7 +344,7 @@
   }
 }
 
-TEST_CASE("an account below its limit is never refused on a calm day") {
+TEST_CASE("an account below its limit is never refused while nothing fails") {
   const LeasesByUse byUse;
   const ExactLeases exact;
   const auto seed = static_cast<std::uint64_t>(GENERATE(range(1, 9)));
@@ -356,7 +361,7 @@
   CHECK(fleet.result().Sent > 0);
 }
 
-TEST_CASE("an account at 8 times its usual gets its allotment") {
+TEST_CASE("an account at 8 times its usual load gets its full allotment") {
   const LeasesByUse byUse;
   FleetOptions options{.Load = 4.4};
   Fleet fleet(options, byUse);
@@ -366,7 +371,7 @@
   CHECK(fleet.mostInWindow(8s) <= bound(options));
 }
 
-TEST_CASE("a limit that falls binds one window after it is known") {
+TEST_CASE("a reduced limit takes full effect one window after it is known") {
   const LeasesByUse byUse;
   FleetOptions options{.Load = 4};
   Fleet fleet(options, byUse);
@@ -386,7 +391,7 @@
   CHECK(fleet.result().Units - atEnd <= bound(lower));
 }
 
-TEST_CASE("a request that is larger than the burst waits for a full bucket") {
+TEST_CASE("a request larger than the burst waits for a full bucket") {
   const LeasesByUse byUse;
   AllotmentLedger ledger({.Window = 8s}, byUse);
   ClientAccount account{.Name = AccountName("shop"),
@@ -406,7 +411,7 @@
   CHECK(askAt(1200ms).Met == 0);
 }
 
-TEST_CASE("a process that slept has no units any more") {
+TEST_CASE("a process that was suspended for a lease holds no units") {
   ClientAccount account{.Name = AccountName("shop"),
                         .Limit = {.PerSecond = 100, .Burst = 100}};
   AllotmentLeases leases({.Incarnation = 1});
@@ -419,14 +424,14 @@
       .Lease = 4s,
       .Grants = {
           {.Account = account.Name, .Decided = true, .Met = 1, .Units = 10}}};
-  SECTION("the answer came in time") {
+  SECTION("the answer arrives before the lease ends") {
     REQUIRE(leases.onGrants(Start + 3ms, grants).size() == 1);
     CHECK(leases.take(Start + 1s, 2, account, 1).Now ==
           AllotmentCharge::State::Reserved);
     CHECK(leases.take(Start + 4s, 3, account, 1).Now ==
           AllotmentCharge::State::Asked);
   }
-  SECTION("the answer was read after a sleep") {
+  SECTION("the answer is read only after the lease has ended") {
     CHECK(leases.onGrants(Start + 5s, grants).empty());
     const auto again = leases.takeReport(Start + 5s + 200ms);
     REQUIRE(again);
@@ -434,7 +439,9 @@
   }
 }
 
-TEST_CASE("an account without a limit, or not known any more, is let through") {
+TEST_CASE(
+    "the ledger grants all units to an account that is unlimited or no longer "
+    "known") {
   const LeasesByUse byUse;
   AllotmentLedger ledger({}, byUse);
   ledger.begin(Start, 1, true);
@@ -451,8 +458,9 @@
   CHECK(ledger.status(Start, 0).empty());
 }
 
-// Figures of docs/design/shifted.md; run by hand.
-TEST_CASE("two ways to lend, at two sizes", "[.][figures]") {
+// Measures the figures in docs/design/shifted.md; run by hand.
+TEST_CASE("lease sizing strategies compared at two fleet sizes",
+          "[.][figures]") {
   const LeasesByUse byUse;
   const ExactLeases exact;
   const std::size_t entries = GENERATE(28, 410);
@@ -467,18 +475,20 @@
     playCalm(fleet, 30s);
     const FleetResult result = fleet.result();
     const auto requests = static_cast<double>(result.Sent + result.Refused);
-    WARN(entries << " entries, " << rate << " units a second, load " << load
+    WARN(entries << " entries, " << rate << " units/s, load " << load
                  << (it == &exact ? ", exact: " : ", by use: ") << requests / 30
                  << " requests/s, "
                  << static_cast<double>(result.Waited) / requests
-                 << " of them waited, "
-                 << static_cast<double>(result.Bytes) / 30'000 << " KB/s, used "
-                 << result.Units / 30 / rate << " of the rate, refused below "
+                 << " of them waited for the ledger, "
+                 << static_cast<double>(result.Bytes) / 30'000
+                 << " KB/s of reports and grants, used "
+                 << result.Units / 30 / rate
+                 << " of the rate, refused below the limit: "
                  << result.RefusedBelowLimit);
   }
 }
 
-TEST_CASE("a key's look-up at 16 and 100,000 accounts", "[.][figures]") {
+TEST_CASE("time of a key lookup at 16 and 100,000 accounts", "[.][figures]") {
   const int accounts = GENERATE(16, 100'000);
   std::vector<ClientAccount> list;
   list.reserve(static_cast<std::size_t>(accounts));
@@ -496,5 +506,5 @@
       std::chrono::steady_clock::now() - begin;
   CHECK(found == Rounds);
   WARN(accounts << " accounts: " << took.count() / Rounds
-                << " ns with the digest");
+                << " ns per lookup, including the digest");
 }
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -25,8 +25,8 @@
           .Registered = true};
 }
 
-/// Two servers of one service with a cap, as an entry among \p entries knows
-/// them.
+/// \returns an entry's view of two servers of a service with a connection cap,
+/// in a fleet of \p entries entries.
 ServerSet serversAmong(std::uint32_t entries) {
   ServerSet set({.Zone = ZoneName("z1")});
   set.useDocument({.Services = {{.Name = Book, .MaxConnections = Cap}}});
@@ -38,7 +38,7 @@
   return set;
 }
 
-/// \returns how many requests find a server, of a thousand that come at once.
+/// \returns how many of 1000 simultaneous requests find a server.
 std::uint32_t admitted(ServerSet &set, TimePoint now) {
   constexpr std::uint32_t Many = 1000;
   for (std::uint32_t n = 0; n < Many; ++n) {
@@ -50,10 +50,10 @@
   return Many;
 }
 
-/// Keeps connections for as long as a busy machine may take.
+/// Keeps idle connections for long enough even on a heavily loaded machine.
 constexpr UpstreamPoolOptions Lasting{.DefaultKeep = 1min, .OnceIdle = 1min};
 
-/// A server on loopback that answers what it is asked, and a pool before it.
+/// An HTTP server on loopback and a connection pool that sends requests to it.
 struct PoolUnderTest : UpstreamHandler, CallerHandler {
   explicit PoolUnderTest(const UpstreamPoolOptions &options = Lasting)
       : Server(Loop, {.Address = ownAddress()}, *this),
@@ -99,7 +99,7 @@
       Server.reply(it, {.Status = 200, .Headers = {}}, "ok");
     const std::size_t ended = Endings.size() + n;
     turnUntil([&] { return Endings.size() == ended; });
-    // The server learns of connections that were given up.
+    // Lets the server notice the connections that the pool closed.
     for (int turn = 0; turn < 3; ++turn)
       event_base_loop(Loop.base(), EVLOOP_NONBLOCK);
   }
@@ -115,10 +115,10 @@
 } // namespace
 
 //===----------------------------------------------------------------------===//
-// The part of a server's cap that an entry uses
+// An entry's share of a server's connection cap
 //===----------------------------------------------------------------------===//
 
-TEST_CASE("all entries together stay below a server's cap") {
+TEST_CASE("all entries together stay within a server's connection cap") {
   const ConnectionShare share;
   for (const std::uint32_t entries : {1U, 4U, 21U, 36U}) {
     const std::uint32_t part = share.part(Now, Cap, entries, Options).Open;
@@ -129,26 +129,26 @@
   CHECK(share.part(Now, 0, 4, Options) == ConnectionPart());
 }
 
-TEST_CASE("entries with less than one connection each keep none") {
+TEST_CASE("entries whose share is below one connection keep none idle") {
   const ConnectionPart part = ConnectionShare().part(Now, Cap, 400, Options);
   CHECK(part.Open == Options.Least);
   CHECK(part.Kept == 0);
 }
 
-TEST_CASE("a connection that was turned away cuts the part for a while") {
+TEST_CASE("a rejected connection reduces the entry's share for a while") {
   ConnectionShare share;
   const std::uint32_t whole = share.part(Now, Cap, 4, Options).Open;
   share.noteTurnedAway(Now, Options);
   const std::uint32_t cut = share.part(Now, Cap, 4, Options).Open;
   CHECK(cut == whole / 2);
-  // Those that were turned away together are one word.
+  // Connections that are rejected together reduce the share only once.
   share.noteTurnedAway(Now + 1ms, Options);
   CHECK(share.part(Now + 1ms, Cap, 4, Options).Open == cut);
   CHECK(share.part(Now + Options.Recovery / 2, Cap, 4, Options).Open > cut);
   CHECK(share.part(Now + Options.Recovery, Cap, 4, Options).Open == whole);
 }
 
-TEST_CASE("an entry that seems to have gone keeps its part for a while") {
+TEST_CASE("an entry that is no longer counted keeps its share for a while") {
   EntryCount count(10);
   count.note(Now, 4);
   CHECK(count.value() == 4);
@@ -163,26 +163,28 @@
   CHECK(count.value() == 9);
 }
 
-// A burst of requests for a plain service: each holds a connection until it is
-// answered, so what comes at once mustn't open more than the entry's part. The
-// figures are a service of two servers that accept 96 connections each.
-TEST_CASE("a burst uses the parts at all servers and no more") {
+// Guards against a burst of requests for a plain service that opens more
+// connections than the entry's share, since each request holds a connection
+// until it is answered. The service has two servers that accept 96 connections
+// each.
+TEST_CASE("a burst opens no more connections than the entry's shares at all "
+          "servers") {
   ServerSet set = serversAmong(4);
   const std::uint32_t part =
       set.connections(Now, *set.find(HostName("near"))).Open;
   CHECK(admitted(set, Now) == 2 * part);
-  SECTION("a server that has answered takes another one") {
+  SECTION("a server that has answered a request gets another one") {
     set.noteEnded(Now, {HostName("far")}, ServerOutcome::Answered);
     CHECK(set.choose(Now, Book, {}, {})->Record.Host == HostName("far"));
   }
-  SECTION("entries that have ended leave their parts to the others") {
+  SECTION("the shares of entries that have exited go to the others") {
     set.onEntries(Now, 2);
     set.onEntries(Now + 6s, 2);
     CHECK(admitted(set, Now + 6s) > 0);
   }
 }
 
-TEST_CASE("a server that turns connections away gets fewer at once") {
+TEST_CASE("a server that rejects a connection gets fewer connections at once") {
   ServerSet set = serversAmong(4);
   const std::uint32_t part =
       set.connections(Now, *set.find(HostName("near"))).Open;
@@ -194,20 +196,21 @@
 // The pool
 //===----------------------------------------------------------------------===//
 
-TEST_CASE("connections without a request are given up before one too many") {
+TEST_CASE("idle connections are closed when the limit is reached or reduced") {
   PoolUnderTest it;
   it.exchange(4, /*most=*/4);
   CHECK(it.Pool.connectionsOpened() == 4);
   CHECK(it.Server.channels() == 4);
   it.exchange(4, /*most=*/4);
   CHECK(it.Pool.connectionsOpened() == 4);
-  // The share has shrunk: what isn't used any more is closed.
+  // After the limit has been reduced, excess idle connections are closed.
   it.exchange(2, /*most=*/2);
   it.turnUntil([&] { return it.Server.channels() == 2; });
   CHECK(it.Pool.connectionsOpened() == 4);
 }
 
-TEST_CASE("an entry whose part is less than one connection keeps none") {
+TEST_CASE(
+    "an entry whose share is below one connection closes it after the answer") {
   PoolUnderTest it;
   for (int i = 0; i < 3; ++i) {
     it.exchange(1, /*most=*/0);
@@ -216,15 +219,16 @@
   CHECK(it.Pool.connectionsOpened() == 3);
 }
 
-TEST_CASE("a request that runs once takes a connection that answered lately") {
-  SECTION("a moment ago") {
+TEST_CASE(
+    "a request that may run only once reuses only a recently used connection") {
+  SECTION("a connection used a moment ago is reused") {
     CHECK(UpstreamPoolOptions().OnceIdle >= 100ms);
     PoolUnderTest it;
     it.exchange(1, 4, /*once=*/true);
     it.exchange(1, 4, /*once=*/true);
     CHECK(it.Pool.connectionsOpened() == 1);
   }
-  SECTION("not one that may have ended unseen") {
+  SECTION("a connection that the server may have closed meanwhile isn't") {
     PoolUnderTest it({.DefaultKeep = 1min, .OnceIdle = -1us});
     it.exchange(1, 4, /*once=*/true);
     it.exchange(1, /*most=*/1, /*once=*/true);
@@ -233,10 +237,11 @@
   }
 }
 
-TEST_CASE("a new connection that ends without an answer was turned away") {
+TEST_CASE(
+    "a new connection that is closed without an answer counts as rejected") {
   PoolUnderTest it({.DefaultKeep = 1min, .TurnedAwayWithin = 1min});
   it.exchange(1, 4);
-  SECTION("a new one") {
+  SECTION("a new connection") {
     it.send(4);
     it.send(4);
     it.turnUntil([&] { return it.Asked.size() == 2; });
@@ -244,7 +249,7 @@
     it.turnUntil([&] { return it.Endings.size() == 2; });
     CHECK(it.Endings.back() == UpstreamEnding::TurnedAway);
   }
-  SECTION("one that has answered before was not") {
+  SECTION("a connection that has answered before") {
     it.send(4);
     it.turnUntil([&] { return it.Asked.size() == 1; });
     it.Server.replyAbort(it.Asked.back());
@@ -253,7 +258,7 @@
   }
 }
 
-TEST_CASE("a look at a server's address tells a process that has ended") {
+TEST_CASE("a probe of a server's address detects that its process has exited") {
   PoolUnderTest it;
   ConnectProbe probe(it.Loop);
   HostPort nobody = PoolUnderTest::ownAddress();
@@ -264,7 +269,7 @@
       life = found;
       it.Loop.stop();
     });
-    CHECK_FALSE(life); // Never from within the call.
+    CHECK_FALSE(life); // The callback is never run inside start().
     it.Loop.run();
     return life;
   };
--- a/test/Schedules.h
+++ b/test/Schedules.h
@@ -10,7 +10,8 @@
 
 namespace pimentofront::testing {
 
-/// \returns the most of \p times, which are in order, within any \p window.
+/// \returns the maximum number of \p times within any \p window.
+/// \pre \p times is sorted.
 inline std::size_t mostWithin(const std::vector<TimePoint> &times,
                               Duration window) {
   std::size_t most = 0;
@@ -22,8 +23,9 @@
   return most;
 }
 
-/// Plays the schedules of some seeds; \p play tells what broke, and nothing if
-/// nothing did.
+/// Runs the schedules of the seeds from \p first to \p last and checks that
+/// none fails. \p play returns a description of the failure, or an empty
+/// string.
 inline void checkSchedules(std::string (*play)(std::uint64_t seed),
                            std::uint64_t first, std::uint64_t last) {
   for (std::uint64_t seed = first; seed <= last; ++seed) {
--- a/test/ServerFeedbackTest.cpp
+++ b/test/ServerFeedbackTest.cpp
@@ -3,7 +3,7 @@
 using namespace pimentofront;
 using namespace pimentofront::testing;
 
-TEST_CASE("a header that holds a number is read by digits alone",
+TEST_CASE("a numeric header accepts only digits with an optional fraction",
           "[feedback]") {
   struct Case {
     const char *Text;
@@ -36,34 +36,35 @@
     CHECK(header.Value == it.Value);
   }
   CHECK(!readDecimalHeader({}, "limit").Present);
-  // Two of them contradict each other, or one of them was forged.
+  // Of two such headers, one may be forged, or they may contradict each other.
   const DecimalHeader twice =
       readDecimalHeader({{"Limit", "1"}, {"limit", "1"}}, "limit");
   CHECK(twice.Present);
   CHECK(!twice.Value);
 }
 
-TEST_CASE("a server's limit holds as long as its answers name it",
+TEST_CASE("a server's rate limit applies as long as its answers name it",
           "[feedback]") {
   constexpr RateLimit Named{.Named = true, .PerThousandSeconds = 1500};
   ServerFeedback it;
   CHECK(!it.apply(Now, {.LimitPerSecond = 1.5}, Now - 1s).empty());
   CHECK(it.limit(Now) == Named);
   CHECK(it.apply(Now + 1s, {.LimitPerSecond = 1.5}, Now).empty());
-  // Sent before the limit was named last: no word on what holds now.
+  // This request was sent before the limit was last named, so its answer
+  // doesn't remove the limit.
   CHECK(it.apply(Now + 2s, {}, Now + 900ms).empty());
   CHECK(it.limit(Now + 1s) == Named);
-  // A word that can't be read neither sets nor ends a limit.
+  // A header that can't be parsed neither sets nor removes a limit.
   CHECK(!it.apply(Now + 2s, {.Unreadable = "limit"}, Now + 1500ms).empty());
   CHECK(it.isLimited());
-  // Others may have an older word.
+  // A report of another process that is older is ignored.
   CHECK(it.learnLimit(Now + 2s, {.Named = true, .Age = 1500ms}).empty());
   CHECK(it.limit(Now + 1s) == Named);
   CHECK(!it.apply(Now + 3s, {}, Now + 2s).empty());
   CHECK(!it.isLimited());
 }
 
-TEST_CASE("of several rests the latest end counts", "[feedback]") {
+TEST_CASE("of several backoffs the one that ends last applies", "[feedback]") {
   ServerFeedback it;
   it.apply(Now, {.Rest = 3s}, Now);
   it.apply(Now + 100ms, {.Rest = 500ms}, Now);
@@ -73,7 +74,7 @@
   CHECK(ServerFeedback::boundedRest(0.25) == 250ms);
 }
 
-TEST_CASE("what a server asks for is kept with its process", "[feedback]") {
+TEST_CASE("feedback belongs to the server process that sent it", "[feedback]") {
   ServerSet set({});
   const auto announce = [&](std::uint64_t startedAt, bool gone = false) {
     MemberRecord record = server("p1", "plain", "1.0.0.1:80");
@@ -85,19 +86,18 @@
   const ServerProcess second{HostName("p1"), 8};
   announce(7);
   set.noteFeedback(Now, first, {.LimitPerSecond = 2, .Leaving = true}, Now);
-  // A registration that lapses and comes back is of the same process.
+  // The registration expires and the same process registers again.
   announce(7, /*gone=*/true);
   announce(7);
   CHECK(set.feedbackOf(first).isLeaving());
   announce(8);
   CHECK(set.feedbackOf(second) == ServerFeedback());
-  // The last words of the former process say nothing of this one.
+  // Late feedback of the former process doesn't apply to the new one.
   set.noteFeedback(Now, first, {.LimitPerSecond = 2}, Now);
   CHECK(set.feedbackOf(second) == ServerFeedback());
 }
 
-TEST_CASE("the log tells what a server begins and ceases to ask for",
-          "[feedback]") {
+TEST_CASE("a change in a server's feedback is logged", "[feedback]") {
   ForwardUnderTest it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
@@ -111,8 +111,10 @@
   CHECK(told[0].Server == sent.Server.Name);
 }
 
-TEST_CASE("an entry asks for one permit at a time, and not too early",
-          "[feedback]") {
+TEST_CASE(
+    "an entry asks for one permit at a time, and not before the retry-after "
+    "delay is over",
+    "[feedback]") {
   SendPermits permits;
   const ServerProcess server{HostName("s"), 1};
   const auto query = [&](TimePoint now) {
@@ -137,7 +139,7 @@
   CHECK_FALSE(permits.has(Now + 1099ms, server));
   CHECK(permits.has(Now + 2099ms, server));
   CHECK(query(Now + 1500ms).empty());
-  // A process that slept finds it lapsed.
+  // A process that was suspended finds its permit expired.
   CHECK_FALSE(permits.has(Now + 2100ms, server));
   const auto third = query(Now + 2100ms);
   REQUIRE(third.size() == 1);
@@ -154,7 +156,7 @@
 
 namespace {
 
-/// An entry whose two plain servers have named limits.
+/// An entry whose two plain servers have reported rate limits.
 struct LimitedPlainServers : ForwardUnderTest {
   LimitedPlainServers() {
     for (int i = 0; i < 2; ++i) {
@@ -172,7 +174,8 @@
 
 } // namespace
 
-TEST_CASE("a request for limited servers waits for a permit", "[feedback]") {
+TEST_CASE("a request for rate-limited servers waits for a permit",
+          "[feedback]") {
   LimitedPlainServers it;
   CHECK(it.take<SendUpstream>().empty());
   REQUIRE(it.Queries.size() == 2);
@@ -180,14 +183,15 @@
       Now + 2ms,
       {.Nonce = it.Queries[1].Nonce, .Granted = true, .Lifetime = 1s});
   CHECK(it.only<SendUpstream>().Server == it.Queries[1].Server);
-  // A permit is good for one send.
+  // A permit covers one send.
   it.Controller.onCallerGone(Now + 2ms, 1);
   it.request("safe");
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE("a request for which no permit comes in time is refused at once",
-          "[feedback]") {
+TEST_CASE(
+    "a request is refused at once if no permit can come before its deadline",
+    "[feedback]") {
   LimitedPlainServers it;
   for (const SendPermitQuery &query : it.Queries)
     it.Controller.onSendPermit(Now + 2ms,
@@ -198,7 +202,8 @@
   CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) >= 2'890'000);
 }
 
-TEST_CASE("an entry tells the agent of its engine's limit, and of its end",
+TEST_CASE("an entry reports to the agent when its engine's rate limit starts "
+          "and ends",
           "[feedback]") {
   ForwardUnderTest it;
   it.request("flow");
@@ -209,7 +214,8 @@
   CHECK(seen.Limit == RateLimit{.Named = true, .PerThousandSeconds = 1500});
   it.end(sent, Whole);
   it.take<SendToAgent>();
-  // The next request names it, for an agent that has started since.
+  // The next request carries the limit, too, for an agent that has started
+  // since then.
   const HostName agent = told.Host;
   it.Controller.onRequest(
       Now + 1s, 2,
@@ -236,7 +242,7 @@
   CHECK(ended == RateLimit{.Age = 1s});
 }
 
-TEST_CASE("a permit for an engine that has asked for rest isn't used",
+TEST_CASE("a permit for an engine that is backing off isn't used",
           "[feedback]") {
   ForwardUnderTest it;
   const auto ask = [&](std::uint64_t key, const std::string &id) {
@@ -246,7 +252,8 @@
         NoBody);
     return it.only<SendToAgent>();
   };
-  // A wait of one agent makes no difference to the other.
+  // A backoff at one agent doesn't affect the other one, so both requests have
+  // to be at the same agent.
   const auto first = ask(1, "r1");
   auto second = ask(2, "r2");
   if (second.Host != first.Host) {
