--- a/packages/account/pimentofront/src/Account/AllotmentBucket.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentBucket.cpp
@@ -11,21 +11,21 @@
   const double error = allowed * rules.Overshoot + rules.Slack;
   return {.Rate = rate,
           .Burst = allotment.Burst,
-          .Top = allotment.Burst + error / 4,
-          .Floor = -error / 4,
-          .FreshLevel = error / 4};
+          .MaxLevel = allotment.Burst + error / 4,
+          .MinLevel = -error / 4,
+          .NewLedgerLevel = error / 4};
 }
 
-double AllotmentBucket::ownFor(double units) const {
+double AllotmentBucket::requiredOwnLevel(double units) const {
   return std::min(units, Burst);
 }
 
-double AllotmentBucket::levelFor(double units) const {
-  return std::min(units + Floor, Top);
+double AllotmentBucket::requiredLevel(double units) const {
+  return std::min(units + MinLevel, MaxLevel);
 }
 
-double AllotmentBucket::toLend(double level) const {
-  return std::max(level - Floor - Burst, 0.0);
+double AllotmentBucket::grantableInAdvance(double level) const {
+  return std::max(level - MinLevel - Burst, 0.0);
 }
 
 } // namespace pimentofront
--- a/packages/account/pimentofront/src/Account/AllotmentBucket.h
+++ b/packages/account/pimentofront/src/Account/AllotmentBucket.h
@@ -28,23 +28,23 @@
 /// \brief The two token buckets of one account.
 ///
 /// The account's own bucket, with its rate and burst, limits what the account
-/// may send. The second bucket, with levels from Floor to Top, limits what all
-/// entries together may send under any failure: units that entries hold are
-/// already subtracted from it. In any window it lets through
-/// (Top - Floor) + rate x window, plus what a new ledger starts with above
-/// Floor. The sum does not exceed the bound of AllotmentRules. One half of the
-/// error that the rules allow is used to size the second bucket, so that units
-/// held by entries don't reduce the account's burst; the other half is reserved
-/// for a new ledger, at most once a window.
+/// may send. The second bucket, with levels from MinLevel to MaxLevel, limits
+/// what all entries together may send under any failure: units that entries
+/// hold are already subtracted from it. In any window it lets through
+/// (MaxLevel - MinLevel) + rate x window, plus what a new ledger starts with
+/// above MinLevel. The sum does not exceed the bound of AllotmentRules. One
+/// half of the error that the rules allow is used to size the second bucket, so
+/// that units held by entries don't reduce the account's burst; the other half
+/// is reserved for a new ledger, at most once a window.
 struct AllotmentBucket {
   /// Units a second.
   double Rate = 0;
   double Burst = 0;
-  double Top = 0;
-  /// Lowest level; not above 0.
-  double Floor = 0;
+  double MaxLevel = 0;
+  /// Not above 0.
+  double MinLevel = 0;
   /// Level at which a new ledger may start, at most once a window.
-  double FreshLevel = 0;
+  double NewLedgerLevel = 0;
   friend auto operator<=>(const AllotmentBucket &,
                           const AllotmentBucket &) = default;
 
@@ -52,12 +52,12 @@
                             const AllotmentRules &rules);
   /// \returns the level of the account's own bucket at which \p units may be
   /// granted. A request larger than the burst requires a full bucket.
-  double ownFor(double units) const;
+  double requiredOwnLevel(double units) const;
   /// \returns the level of the second bucket at which the rules allow \p units.
-  double levelFor(double units) const;
+  double requiredLevel(double units) const;
   /// \returns the units that may be granted in advance at \p level. The burst
   /// is reserved for requests that ask for their units.
-  double toLend(double level) const;
+  double grantableInAdvance(double level) const;
 };
 
 } // namespace pimentofront
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
@@ -7,13 +7,13 @@
 namespace pimentofront {
 namespace {
 
-std::uint64_t whole(double units) {
+std::uint64_t ceilUnits(double units) {
   return static_cast<std::uint64_t>(std::ceil(std::max(units, 0.0)));
 }
 
 /// Maximum number of reports whose answers are awaited. Answers to older
 /// reports arrive too late to be of use.
-constexpr std::size_t MostQuestions = 256;
+constexpr std::size_t MaxPendingQueries = 256;
 
 } // namespace
 
@@ -24,33 +24,34 @@
   ++lease.Epoch;
 }
 
-void AllotmentLeases::endIfOver(TimePoint now, Lease &lease) {
+void AllotmentLeases::endIfExpired(TimePoint now, Lease &lease) {
   const bool holds = lease.Free > 0 || lease.Reserved > 0 || lease.Spent > 0;
   if (holds && now >= lease.ExpiresAt)
     end(lease);
 }
 
-void AllotmentLeases::noteUse(TimePoint now, Lease &lease, double units) const {
-  const double halfLife = toSeconds(Options.UseHalfLife);
-  lease.Use =
-      lease.Use * remainingShare(now - lease.UsedAt, Options.UseHalfLife) +
-      units * std::log(2) / halfLife;
+void AllotmentLeases::recordUse(TimePoint now, Lease &lease,
+                                double units) const {
+  const double halfLife = toSeconds(Options.UsageHalfLife);
+  lease.UsageRate = lease.UsageRate * remainingShare(now - lease.LastUsedAt,
+                                                     Options.UsageHalfLife) +
+                    units * std::log(2) / halfLife;
   constexpr double NewestShare = 0.2;
-  lease.UsualUnits =
-      lease.UsualUnits > 0
-          ? lease.UsualUnits * (1 - NewestShare) + units * NewestShare
+  lease.TypicalUnits =
+      lease.TypicalUnits > 0
+          ? lease.TypicalUnits * (1 - NewestShare) + units * NewestShare
           : units;
-  lease.UsedAt = now;
+  lease.LastUsedAt = now;
 }
 
-double AllotmentLeases::wanted(TimePoint now, const Lease &lease) const {
+double AllotmentLeases::targetUnits(TimePoint now, const Lease &lease) const {
   // Units that haven't been used for a few half-lives are returned.
   constexpr int HalfLivesRemembered = 3;
-  if (now >= lease.UsedAt + HalfLivesRemembered * Options.UseHalfLife)
+  if (now >= lease.LastUsedAt + HalfLivesRemembered * Options.UsageHalfLife)
     return 0;
   // Units for less than one request are of no use.
-  const double units = lease.Use * toSeconds(Options.Horizon);
-  return units >= lease.UsualUnits ? units : 0;
+  const double units = lease.UsageRate * toSeconds(Options.Horizon);
+  return units >= lease.TypicalUnits ? units : 0;
 }
 
 AllotmentCharge AllotmentLeases::take(TimePoint now, std::uint64_t key,
@@ -60,8 +61,8 @@
          "the account has no limit, so no units are taken for it");
   Lease &lease = Leases[account.Name];
   lease.Rate = account.Limit.PerSecond;
-  endIfOver(now, lease);
-  noteUse(now, lease, units);
+  endIfExpired(now, lease);
+  recordUse(now, lease, units);
   AllotmentCharge charge{.Now = AllotmentCharge::State::Reserved,
                          .Account = account.Name,
                          .Units = std::ceil(units),
@@ -105,7 +106,7 @@
                   [&](const auto &waiting) { return waiting.Key == key; });
     return;
   }
-  endIfOver(now, lease);
+  endIfExpired(now, lease);
   if (charge.Epoch != lease.Epoch)
     return;
   lease.Reserved -= charge.Units;
@@ -115,42 +116,42 @@
 void AllotmentLeases::spendAgain(TimePoint now, const ClientAccount &account,
                                  double units) {
   Lease &lease = Leases[account.Name];
-  endIfOver(now, lease);
+  endIfExpired(now, lease);
   const double spent = std::ceil(units);
   lease.Free -= std::min(spent, lease.Free);
   lease.Spent += spent;
 }
 
 std::optional<AllotmentUse>
-AllotmentLeases::useOf(TimePoint now, const AccountName &name, Lease &lease,
-                       std::uint64_t nonce, bool renew) const {
-  endIfOver(now, lease);
+AllotmentLeases::takeUse(TimePoint now, const AccountName &name, Lease &lease,
+                         std::uint64_t nonce, bool renew) const {
+  endIfExpired(now, lease);
   AllotmentUse use{.Account = name, .Ledger = lease.Ledger};
-  if (now >= lease.NextAskAt)
+  if (now >= lease.NextQueryAt)
     for (Waiting &it : lease.Queue) {
       if (it.Nonce != 0)
         continue;
       it.Nonce = nonce;
-      use.Needs.push_back(whole(it.Units));
+      use.Needs.push_back(ceilUnits(it.Units));
     }
   const bool idle = lease.Spent <= 0 && lease.Free + lease.Reserved <= 0;
   if (use.Needs.empty() && (!renew || idle))
     return std::nullopt;
-  const double target = wanted(now, lease);
+  const double target = targetUnits(now, lease);
   const double surplus = std::floor(std::max(lease.Free - target, 0.0));
   lease.Free -= surplus;
-  use.Returned = whole(surplus);
-  use.Spent = whole(std::exchange(lease.Spent, 0));
-  use.Wished = whole(target - lease.Free);
+  use.Returned = ceilUnits(surplus);
+  use.Spent = ceilUnits(std::exchange(lease.Spent, 0));
+  use.Wished = ceilUnits(target - lease.Free);
   return use;
 }
 
-void AllotmentLeases::forgetUnused(TimePoint now) {
+void AllotmentLeases::removeUnused(TimePoint now) {
   constexpr int HalfLivesKept = 15;
   std::erase_if(Leases, [&](const auto &it) {
     const Lease &lease = it.second;
     return lease.Queue.empty() && now >= lease.ExpiresAt &&
-           now >= lease.UsedAt + HalfLivesKept * Options.UseHalfLife;
+           now >= lease.LastUsedAt + HalfLivesKept * Options.UsageHalfLife;
   });
 }
 
@@ -161,14 +162,14 @@
   Urgent = false;
   if (renew) {
     NextReportAt = now + Options.ReportPeriod;
-    forgetUnused(now);
+    removeUnused(now);
   }
   AllotmentReport report{.Host = Options.Host,
                          .Incarnation = Options.Incarnation,
                          .Nonce = LastNonce + 1};
   bool waits = false;
   for (auto &[name, lease] : Leases) {
-    auto use = useOf(now, name, lease, report.Nonce, renew);
+    auto use = takeUse(now, name, lease, report.Nonce, renew);
     if (!use)
       continue;
     waits = waits || !use->Needs.empty();
@@ -177,40 +178,41 @@
   if (report.Uses.empty())
     return std::nullopt;
   ++LastNonce;
-  Questions[LastNonce] = {.AskedAt = now, .Waits = waits};
-  if (Questions.size() > MostQuestions)
-    Questions.erase(Questions.begin());
+  Queries[LastNonce] = {.QueriedAt = now, .Waits = waits};
+  if (Queries.size() > MaxPendingQueries)
+    Queries.erase(Queries.begin());
   return report;
 }
 
 void AllotmentLeases::applyGrant(TimePoint now, const AllotmentGrants &grants,
-                                 const AllotmentGrant &grant, TimePoint askedAt,
+                                 const AllotmentGrant &grant,
+                                 TimePoint queriedAt,
                                  std::vector<AllotmentDecision> &decisions) {
   const auto it = Leases.find(grant.Account);
   if (it == Leases.end())
     return;
   Lease &lease = it->second;
-  endIfOver(now, lease);
+  endIfExpired(now, lease);
   if (grant.Decided && lease.Ledger != grants.Ledger) {
     // A new ledger doesn't know the units that the former one granted.
     end(lease);
     lease.Ledger = grants.Ledger;
   }
-  const bool over = now >= askedAt + grants.Lease;
-  if (!over && grant.Decided) {
-    lease.ExpiresAt = std::max(lease.ExpiresAt, askedAt + grants.Lease);
+  const bool expired = now >= queriedAt + grants.Lease;
+  if (!expired && grant.Decided) {
+    lease.ExpiresAt = std::max(lease.ExpiresAt, queriedAt + grants.Lease);
     lease.Free += static_cast<double>(grant.Units);
   }
   std::uint32_t met = 0;
-  double ahead = 0;
-  std::deque<Waiting> rest;
+  double unitsAhead = 0;
+  std::deque<Waiting> stillWaiting;
   for (Waiting &waiting : lease.Queue) {
     if (waiting.Nonce != grants.Nonce) {
-      rest.push_back(waiting);
-    } else if (over || !grant.Decided) {
+      stillWaiting.push_back(waiting);
+    } else if (expired || !grant.Decided) {
       waiting.Nonce = 0;
-      rest.push_back(waiting);
-      lease.NextAskAt = now + Options.AskPause;
+      stillWaiting.push_back(waiting);
+      lease.NextQueryAt = now + Options.QueryRetryDelay;
       Urgent = true;
     } else if (met < grant.Met && lease.Free >= waiting.Units) {
       ++met;
@@ -222,32 +224,33 @@
                                       .Units = waiting.Units,
                                       .Epoch = lease.Epoch},
                            .Level = grant.Level,
-                           .Age = now - askedAt});
+                           .Age = now - queriedAt});
     } else {
-      const Duration behind = fromSeconds(ahead / std::max(lease.Rate, 1.0));
-      ahead += waiting.Units;
+      const Duration extraDelay =
+          fromSeconds(unitsAhead / std::max(lease.Rate, 1.0));
+      unitsAhead += waiting.Units;
       decisions.push_back({.Key = waiting.Key,
-                           .ComeBack = grant.ComeBack + behind,
+                           .ComeBack = grant.ComeBack + extraDelay,
                            .Level = grant.Level,
-                           .Age = now - askedAt});
+                           .Age = now - queriedAt});
     }
   }
-  lease.Queue = std::move(rest);
+  lease.Queue = std::move(stillWaiting);
 }
 
 std::vector<AllotmentDecision>
 AllotmentLeases::onGrants(TimePoint now, const AllotmentGrants &grants) {
-  const auto question = Questions.extract(grants.Nonce);
-  if (!question)
+  const auto query = Queries.extract(grants.Nonce);
+  if (!query)
     return {};
   std::vector<AllotmentDecision> decisions;
   for (const AllotmentGrant &it : grants.Grants)
-    applyGrant(now, grants, it, question.mapped().AskedAt, decisions);
+    applyGrant(now, grants, it, query.mapped().QueriedAt, decisions);
   return decisions;
 }
 
 void AllotmentLeases::onLinkLost() {
-  Questions.clear();
+  Queries.clear();
   for (auto &[name, lease] : Leases)
     for (Waiting &it : lease.Queue) {
       it.Nonce = 0;
@@ -256,8 +259,8 @@
 }
 
 bool AllotmentLeases::unanswered(TimePoint now) const {
-  return std::ranges::any_of(Questions, [&](const auto &it) {
-    return it.second.Waits && now >= it.second.AskedAt + Options.AskTimeout;
+  return std::ranges::any_of(Queries, [&](const auto &it) {
+    return it.second.Waits && now >= it.second.QueriedAt + Options.QueryTimeout;
   });
 }
 
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.h
@@ -20,13 +20,13 @@
   Duration ReportPeriod = std::chrono::seconds(1);
   /// If the leader doesn't answer a query within this time, the query is sent
   /// again: a change of leader is known by then.
-  Duration AskTimeout = std::chrono::milliseconds(400);
+  Duration QueryTimeout = std::chrono::milliseconds(400);
   /// Delay between two attempts to find a leader that decides.
-  Duration AskPause = std::chrono::milliseconds(100);
+  Duration QueryRetryDelay = std::chrono::milliseconds(100);
   /// An entry asks to hold as many units as it uses in this time.
   Duration Horizon = std::chrono::seconds(2);
   /// Half-life of the moving average of an account's usage.
-  Duration UseHalfLife = std::chrono::seconds(4);
+  Duration UsageHalfLife = std::chrono::seconds(4);
 };
 
 /// \class AllotmentCharge
@@ -109,7 +109,7 @@
   /// Marks the queries that were sent on the link to be sent again.
   void onLinkLost();
   /// \returns whether a query on which a request waits has had no answer within
-  /// AskTimeout.
+  /// QueryTimeout.
   bool unanswered(TimePoint now) const;
 
 private:
@@ -133,36 +133,36 @@
     /// Units spent that haven't been reported yet.
     double Spent = 0;
     std::deque<Waiting> Queue;
-    TimePoint NextAskAt;
+    TimePoint NextQueryAt;
     /// Moving average of the usage, in units a second.
-    double Use = 0;
+    double UsageRate = 0;
     /// Moving average of the units of one request.
-    double UsualUnits = 0;
-    TimePoint UsedAt;
+    double TypicalUnits = 0;
+    TimePoint LastUsedAt;
   };
   /// A report without an answer so far.
-  struct Question {
-    TimePoint AskedAt;
+  struct Query {
+    TimePoint QueriedAt;
     /// Whether a request waits for the answer.
     bool Waits = false;
   };
 
-  static void endIfOver(TimePoint now, Lease &lease);
+  static void endIfExpired(TimePoint now, Lease &lease);
   static void end(Lease &lease);
-  void forgetUnused(TimePoint now);
-  void noteUse(TimePoint now, Lease &lease, double units) const;
+  void removeUnused(TimePoint now);
+  void recordUse(TimePoint now, Lease &lease, double units) const;
   /// \returns the number of units to hold for future requests.
-  double wanted(TimePoint now, const Lease &lease) const;
-  std::optional<AllotmentUse> useOf(TimePoint now, const AccountName &name,
-                                    Lease &lease, std::uint64_t nonce,
-                                    bool renew) const;
+  double targetUnits(TimePoint now, const Lease &lease) const;
+  std::optional<AllotmentUse> takeUse(TimePoint now, const AccountName &name,
+                                      Lease &lease, std::uint64_t nonce,
+                                      bool renew) const;
   void applyGrant(TimePoint now, const AllotmentGrants &grants,
-                  const AllotmentGrant &grant, TimePoint askedAt,
+                  const AllotmentGrant &grant, TimePoint queriedAt,
                   std::vector<AllotmentDecision> &decisions);
 
   AllotmentLeaseOptions Options;
   std::map<AccountName, Lease> Leases;
-  std::map<std::uint64_t, Question> Questions;
+  std::map<std::uint64_t, Query> Queries;
   std::uint64_t LastNonce = 0;
   bool Urgent = false;
   TimePoint NextReportAt;
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
@@ -8,19 +8,20 @@
 
 /// Upper bound on the time over which the retry-after delays of refused
 /// requests are spread.
-constexpr double MostPromisedSeconds = 3;
+constexpr double MaxPromisedSeconds = 3;
 constexpr Duration SweepPeriod = std::chrono::seconds(1);
 
-std::uint64_t wholeUnits(double units) {
+std::uint64_t floorUnits(double units) {
   return static_cast<std::uint64_t>(std::max(std::floor(units), 0.0));
 }
 
 } // namespace
 
-void AllotmentLedger::begin(TimePoint now, std::uint64_t id, bool lastLongAgo) {
+void AllotmentLedger::begin(TimePoint now, std::uint64_t id,
+                            bool noRecentLedger) {
   Id = id;
-  BeganAt = now;
-  StartsFresh = lastLongAgo;
+  StartedAt = now;
+  NoRecentLedger = noRecentLedger;
   Accounts.clear();
 }
 
@@ -33,7 +34,8 @@
   for (auto &[name, account] : Accounts) {
     fill(now, account);
     account.Bucket = AllotmentBucket::of(Limits.find(name)->Limit, Rules);
-    account.Level = std::min(account.Level, account.Bucket.Top - account.Lent);
+    account.Level =
+        std::min(account.Level, account.Bucket.MaxLevel - account.Lent);
   }
 }
 
@@ -46,10 +48,10 @@
   Account &account = it->second;
   if (isNew) {
     account.Bucket = AllotmentBucket::of(limit->Limit, Rules);
-    account.Level =
-        StartsFresh ? account.Bucket.FreshLevel : account.Bucket.Floor;
-    account.FilledAt = BeganAt;
-    account.Own = StartsFresh ? account.Bucket.Burst : 0;
+    account.Level = NoRecentLedger ? account.Bucket.NewLedgerLevel
+                                   : account.Bucket.MinLevel;
+    account.FilledAt = StartedAt;
+    account.OwnLevel = NoRecentLedger ? account.Bucket.Burst : 0;
   }
   fill(now, account);
   expire(now, account);
@@ -59,11 +61,11 @@
 void AllotmentLedger::fill(TimePoint now, Account &account) const {
   const double units = account.Bucket.Rate * toSeconds(now - account.FilledAt);
   account.FilledAt = now;
-  account.Promised = std::max(account.Promised - units, 0.0);
-  const double most = account.Bucket.Top - account.Lent;
-  if (account.Level < most)
-    account.Level = std::min(account.Level + units, most);
-  account.Own = std::min(account.Own + units, account.Bucket.Burst);
+  account.PromisedUnits = std::max(account.PromisedUnits - units, 0.0);
+  const double maxLevel = account.Bucket.MaxLevel - account.Lent;
+  if (account.Level < maxLevel)
+    account.Level = std::min(account.Level + units, maxLevel);
+  account.OwnLevel = std::min(account.OwnLevel + units, account.Bucket.Burst);
 }
 
 void AllotmentLedger::expire(TimePoint now, Account &account) {
@@ -81,24 +83,26 @@
   });
 }
 
-void AllotmentLedger::settle(Account &account, Lease &lease,
-                             const AllotmentUse &use) {
+void AllotmentLedger::applyUse(Account &account, Lease &lease,
+                               const AllotmentUse &use) {
   const auto spent = static_cast<double>(use.Spent);
   const double returned =
       std::min(static_cast<double>(use.Returned), lease.Units);
   lease.Units -= returned;
   account.Lent -= returned;
   account.Level += returned;
-  account.Own = std::min(account.Own + returned, account.Bucket.Burst);
+  account.OwnLevel =
+      std::min(account.OwnLevel + returned, account.Bucket.Burst);
   // A request that was sent again may have spent more units than were leased.
-  const double lent = std::min(spent, lease.Units);
-  lease.Units -= lent;
-  account.Lent -= lent;
-  account.Level -= spent - lent;
+  const double leased = std::min(spent, lease.Units);
+  lease.Units -= leased;
+  account.Lent -= leased;
+  account.Level -= spent - leased;
 }
 
 double AllotmentLedger::Account::missingFor(double need) const {
-  return std::max(Bucket.ownFor(need) - Own, Bucket.levelFor(need) - Level);
+  return std::max(Bucket.requiredOwnLevel(need) - OwnLevel,
+                  Bucket.requiredLevel(need) - Level);
 }
 
 AllotmentGrant AllotmentLedger::grant(Account &account, Lease &lease,
@@ -110,35 +114,36 @@
     const auto need = static_cast<double>(it);
     const double missing = account.missingFor(need);
     if (missing > 0) {
-      grant.ComeBack = fromSeconds((missing + account.Promised) / bucket.Rate);
-      account.Promised =
-          std::min(account.Promised + need, MostPromisedSeconds * bucket.Rate);
+      grant.ComeBack =
+          fromSeconds((missing + account.PromisedUnits) / bucket.Rate);
+      account.PromisedUnits = std::min(account.PromisedUnits + need,
+                                       MaxPromisedSeconds * bucket.Rate);
       account.Refused += use.Needs.size() - grant.Met;
       break;
     }
     account.Level -= need;
-    account.Own -= need;
+    account.OwnLevel -= need;
     account.Lent += need;
     units += need;
     ++grant.Met;
   }
   if (grant.Met == use.Needs.size()) {
-    const double more = std::floor(
+    const double inAdvance = std::floor(
         Sizing.advance(bucket, static_cast<double>(use.Wished), account.Level));
-    account.Level -= more;
-    account.Lent += more;
-    units += more;
+    account.Level -= inAdvance;
+    account.Lent += inAdvance;
+    units += inAdvance;
   }
   lease.Units += units;
   account.Granted += units;
-  grant.Units = wholeUnits(units);
-  grant.Level = wholeUnits(account.Own);
+  grant.Units = floorUnits(units);
+  grant.Level = floorUnits(account.OwnLevel);
   return grant;
 }
 
 AllotmentGrants AllotmentLedger::onReport(TimePoint now,
                                           const AllotmentReport &report) {
-  forgetFull(now);
+  removeFull(now);
   AllotmentGrants grants{
       .Nonce = report.Nonce, .Ledger = Id, .Lease = Rules.Lease};
   for (const AllotmentUse &use : report.Uses) {
@@ -155,7 +160,7 @@
     }
     Lease &lease = account->Leases[report.Incarnation];
     if (use.Ledger == Id)
-      settle(*account, lease, use);
+      applyUse(*account, lease, use);
     grants.Grants.push_back(grant(*account, lease, use));
     lease.ExpiresAt = now + Rules.Lease;
     account->NextExpiry = account->Leases.size() == 1
@@ -167,14 +172,14 @@
   return grants;
 }
 
-void AllotmentLedger::forgetFull(TimePoint now) {
+void AllotmentLedger::removeFull(TimePoint now) {
   if (now < NextSweep)
     return;
   NextSweep = now + SweepPeriod;
   // An account that is added again starts with the level that its bucket would
   // have reached since the ledger started. So only an account whose bucket
   // would be full by that rule, too, may be dropped.
-  const double age = toSeconds(now - BeganAt);
+  const double age = toSeconds(now - StartedAt);
   for (auto &[name, it] : Accounts) {
     fill(now, it);
     expire(now, it);
@@ -182,21 +187,21 @@
   std::erase_if(Accounts, [&](const auto &it) {
     const Account &account = it.second;
     const AllotmentBucket &bucket = account.Bucket;
-    return account.Leases.empty() && account.Level >= bucket.Top &&
-           bucket.Floor + bucket.Rate * age >= bucket.Top;
+    return account.Leases.empty() && account.Level >= bucket.MaxLevel &&
+           bucket.MinLevel + bucket.Rate * age >= bucket.MaxLevel;
   });
 }
 
 std::vector<AccountStatus> AllotmentLedger::status(TimePoint now,
-                                                   std::size_t most) {
+                                                   std::size_t maxAccounts) {
   std::vector<AccountStatus> result;
   for (const ClientAccount &it : Limits.accounts()) {
-    if (result.size() == most)
+    if (result.size() == maxAccounts)
       break;
     AccountStatus status{.Account = it.Name,
-                         .PerSecond = wholeUnits(it.Limit.PerSecond),
-                         .Burst = wholeUnits(it.Limit.Burst),
-                         .Level = wholeUnits(it.Limit.Burst)};
+                         .PerSecond = floorUnits(it.Limit.PerSecond),
+                         .Burst = floorUnits(it.Limit.Burst),
+                         .Level = floorUnits(it.Limit.Burst)};
     for (const KeyDigest &key : it.Keys)
       status.Keys.push_back(key.shortText());
     const auto known = Accounts.find(it.Name);
@@ -204,9 +209,9 @@
       Account &account = known->second;
       fill(now, account);
       expire(now, account);
-      status.Level = wholeUnits(account.Own);
-      status.Lent = wholeUnits(account.Lent);
-      status.Granted = wholeUnits(account.Granted);
+      status.Level = floorUnits(account.OwnLevel);
+      status.Lent = floorUnits(account.Lent);
+      status.Granted = floorUnits(account.Granted);
       status.Refused = account.Refused;
     }
     result.push_back(std::move(status));
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.h
@@ -17,8 +17,8 @@
 /// leader lease, so at most one ledger is active at any time. A ledger is soft
 /// state. The units that a former ledger granted remain valid for one lease, so
 /// a new ledger starts at the level that the rules reserve for a change of
-/// ledger (AllotmentBucket::FreshLevel). It starts with an empty bucket if it
-/// can't tell how long ago the former ledger started. Units that an entry
+/// ledger (AllotmentBucket::NewLedgerLevel). It starts with an empty bucket if
+/// it can't tell how long ago the former ledger started. Units that an entry
 /// doesn't return before its lease expires count as spent.
 ///
 /// Accounts without a limit have no bucket. An account whose bucket is full and
@@ -30,15 +30,15 @@
       : Rules(rules), Sizing(sizing) {}
 
   /// Resets the ledger and gives it \p id, which no other ledger has had.
-  /// \param lastLongAgo whether no other ledger started within the last window
-  /// plus lease.
-  void begin(TimePoint now, std::uint64_t id, bool lastLongAgo);
+  /// \param noRecentLedger whether no other ledger started within the last
+  /// window plus lease.
+  void begin(TimePoint now, std::uint64_t id, bool noRecentLedger);
   /// Replaces the accounts that are in force.
   void setAccounts(TimePoint now, AccountTable accounts);
   AllotmentGrants onReport(TimePoint now, const AllotmentReport &report);
 
-  /// \returns the status of the first \p most accounts in force.
-  std::vector<AccountStatus> status(TimePoint now, std::size_t most);
+  /// \returns the status of the first \p maxAccounts accounts in force.
+  std::vector<AccountStatus> status(TimePoint now, std::size_t maxAccounts);
 
 private:
   struct Lease {
@@ -52,14 +52,14 @@
     double Level = 0;
     /// Units that the allotment itself still allows, for requests that ask for
     /// their units. Units granted in advance are limited by Level alone.
-    double Own = 0;
+    double OwnLevel = 0;
     TimePoint FilledAt;
     /// Leases by the incarnation of the entry's process.
     std::map<std::uint64_t, Lease> Leases;
     double Lent = 0;
     TimePoint NextExpiry;
     /// Units that refused requests will ask for after their retry-after delay.
-    double Promised = 0;
+    double PromisedUnits = 0;
     double Granted = 0;
     std::uint64_t Refused = 0;
 
@@ -73,15 +73,15 @@
   Account *find(TimePoint now, const AccountName &name);
   void fill(TimePoint now, Account &account) const;
   static void expire(TimePoint now, Account &account);
-  static void settle(Account &account, Lease &lease, const AllotmentUse &use);
+  static void applyUse(Account &account, Lease &lease, const AllotmentUse &use);
   AllotmentGrant grant(Account &account, Lease &lease, const AllotmentUse &use);
-  void forgetFull(TimePoint now);
+  void removeFull(TimePoint now);
 
   AllotmentRules Rules;
   const LeaseSizing &Sizing;
   std::uint64_t Id = 0;
-  TimePoint BeganAt;
-  bool StartsFresh = false;
+  TimePoint StartedAt;
+  bool NoRecentLedger = false;
   AccountTable Limits;
   std::map<AccountName, Account> Accounts;
   TimePoint NextSweep;
--- a/packages/account/pimentofront/src/Account/ClientAccount.cpp
+++ b/packages/account/pimentofront/src/Account/ClientAccount.cpp
@@ -6,7 +6,7 @@
 namespace pimentofront {
 namespace {
 
-std::string placeOf(std::size_t account, const std::string &field) {
+std::string locationOf(std::size_t account, const std::string &field) {
   return "/accounts/" + std::to_string(account) + "/" + field;
 }
 
@@ -20,7 +20,7 @@
     const auto [it, isNew] = holders.emplace(keys[k], i);
     if (isNew || it->second == i)
       continue;
-    findings.add(placeOf(i, "keys/" + std::to_string(k)),
+    findings.add(locationOf(i, "keys/" + std::to_string(k)),
                  "the same key as one of account '" +
                      accounts[it->second].Name.str() + "'");
   }
@@ -41,9 +41,9 @@
   for (std::size_t i = 0; i < accounts.size(); ++i) {
     const AccountName &name = accounts[i].Name;
     if (name.empty())
-      findings.add(placeOf(i, "name"), "expected a name");
+      findings.add(locationOf(i, "name"), "expected a name");
     else if (!names.insert(name).second)
-      findings.add(placeOf(i, "name"),
+      findings.add(locationOf(i, "name"),
                    "account '" + name.str() + "' stands twice");
     checkKeys(accounts, i, holders, findings);
   }
--- a/packages/account/pimentofront/src/Account/LeaseSizing.cpp
+++ b/packages/account/pimentofront/src/Account/LeaseSizing.cpp
@@ -10,7 +10,7 @@
 
 double LeasesByUse::advance(const AllotmentBucket &bucket, double wished,
                             double level) const {
-  return std::min(wished, bucket.toLend(level));
+  return std::min(wished, bucket.grantableInAdvance(level));
 }
 
 } // namespace pimentofront
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
@@ -8,7 +8,7 @@
 /// Delay after which a decrease in the number of entries takes effect. By then,
 /// an entry that lost its link to a replica has connected to another one or has
 /// exited.
-constexpr Duration BelievedAfter = std::chrono::seconds(5);
+constexpr Duration DecreaseDelay = std::chrono::seconds(5);
 
 } // namespace
 
@@ -17,24 +17,24 @@
                       const ConnectionShareOptions &options) const {
   if (cap == 0)
     return {};
-  const double grown =
-      toSeconds(now - CutAt) / toSeconds(options.Recovery) * (1 - Rest);
-  const double rest = std::min(Rest + grown, 1.0);
-  const double share = options.UsedShare * cap / std::max(entries, 1U);
-  const auto own = static_cast<std::uint32_t>(share * rest);
-  return {.Open = std::max(own, options.Least), .Kept = own};
+  const double growth = toSeconds(now - CutAt) /
+                        toSeconds(options.RecoveryTime) * (1 - ScaleAtCut);
+  const double scale = std::min(ScaleAtCut + growth, 1.0);
+  const double share = options.UsableShare * cap / std::max(entries, 1U);
+  const auto scaledShare = static_cast<std::uint32_t>(share * scale);
+  return {.Open = std::max(scaledShare, options.MinOpen), .Kept = scaledShare};
 }
 
 void ConnectionShare::noteTurnedAway(TimePoint now,
                                      const ConnectionShareOptions &options) {
   // Several connections that are rejected together cut the share only once.
-  if (now < CutAt + options.Recovery * options.CutTo)
+  if (now < CutAt + options.RecoveryTime * options.CutFactor)
     return;
-  Rest = options.CutTo;
+  ScaleAtCut = options.CutFactor;
   CutAt = now;
 }
 
-void EntryCount::note(TimePoint now, std::uint32_t entries) {
+void EntryCount::recordCount(TimePoint now, std::uint32_t entries) {
   entries = std::max(entries, 1U);
   if (!Known || entries >= Value) {
     Known = true;
@@ -44,7 +44,7 @@
   }
   if (!FewerSince)
     FewerSince = now;
-  if (now >= *FewerSince + BelievedAfter) {
+  if (now >= *FewerSince + DecreaseDelay) {
     Value = entries;
     FewerSince.reset();
   }
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.h
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.h
@@ -29,16 +29,16 @@
   /// Fraction of a server's cap that all entries together use. The rest allows
   /// for connections whose close hasn't reached the server yet, and for entries
   /// that have started and aren't counted yet.
-  double UsedShare = 0.75;
+  double UsableShare = 0.75;
   /// Minimum of connections that each entry may open, whatever its share. With
   /// fewer, one long answer would keep an entry from using the server.
-  std::uint32_t Least = 2;
+  std::uint32_t MinOpen = 2;
   /// Factor to which the share is cut when the server rejects a connection, and
   /// the time in which the share grows back to its full size. A server accepts
   /// fewer connections while its queue is long, and works a queue off within
   /// about a second.
-  double CutTo = 0.5;
-  Duration Recovery = std::chrono::seconds(2);
+  double CutFactor = 0.5;
+  Duration RecoveryTime = std::chrono::seconds(2);
 };
 
 /// \class ConnectionShare
@@ -64,7 +64,7 @@
 
 private:
   /// Factor on the share at the time CutAt; it grows linearly from then on.
-  double Rest = 1;
+  double ScaleAtCut = 1;
   TimePoint CutAt;
 };
 
@@ -79,7 +79,7 @@
 public:
   /// \param presumed number of entries to assume until the first report.
   explicit EntryCount(std::uint32_t presumed) : Value(presumed) {}
-  void note(TimePoint now, std::uint32_t entries);
+  void recordCount(TimePoint now, std::uint32_t entries);
   std::uint32_t value() const { return Value; }
 
 private:
--- a/packages/forward/pimentofront/src/Forward/EventStream.cpp
+++ b/packages/forward/pimentofront/src/Forward/EventStream.cpp
@@ -57,9 +57,10 @@
 
 std::string EventStream::take(std::string_view bytes) {
   // The empty line that ends an event may be split between two pieces.
-  constexpr std::size_t LongestEnd = 3;
-  std::size_t from =
-      Partial.size() > LongestEnd ? Partial.size() - LongestEnd : 0;
+  constexpr std::size_t MaxTerminatorLength = 3;
+  std::size_t from = Partial.size() > MaxTerminatorLength
+                         ? Partial.size() - MaxTerminatorLength
+                         : 0;
   Partial += bytes;
   std::string out;
   std::size_t begin = 0;
--- a/packages/forward/pimentofront/src/Forward/HeaderCodec.h
+++ b/packages/forward/pimentofront/src/Forward/HeaderCodec.h
@@ -86,11 +86,11 @@
   /// with \p traits added.
   virtual RequestHead encodeRequest(const RequestHead &head,
                                     const ForwardTraits &traits) const = 0;
-  /// \returns the headers of a refusal: the request's id and, if \p comeBack is
-  /// given, the retry-after delay.
+  /// \returns the headers of a refusal: the request's id and, if \p retryAfter
+  /// is given, the retry-after delay.
   virtual HttpHeaders
   refusalHeaders(const RequestTraits &request,
-                 std::optional<Duration> comeBack) const = 0;
+                 std::optional<Duration> retryAfter) const = 0;
 };
 
 } // namespace pimentofront
--- a/packages/forward/pimentofront/src/Forward/RoutingDocument.cpp
+++ b/packages/forward/pimentofront/src/Forward/RoutingDocument.cpp
@@ -5,7 +5,7 @@
 namespace pimentofront {
 namespace {
 
-std::string placeOf(const char *list, std::size_t i, const char *field) {
+std::string locationOf(const char *list, std::size_t i, const char *field) {
   return std::string("/") + list + "/" + std::to_string(i) + "/" + field;
 }
 
@@ -17,11 +17,11 @@
   for (const WeightedService &it : route.Split) {
     sum += it.Weight;
     if (!services.contains(it.Service))
-      findings.add(placeOf("routes", i, "split"),
+      findings.add(locationOf("routes", i, "split"),
                    "no service '" + it.Service.str() + "'");
   }
   if (sum == 0)
-    findings.add(placeOf("routes", i, "split"), "the weights add up to 0");
+    findings.add(locationOf("routes", i, "split"), "the weights add up to 0");
 }
 
 void checkRoute(const RouteSpec &route, std::size_t i,
@@ -29,10 +29,10 @@
   checkSplit(route, i, services, findings);
   const std::string &prefix = route.PathPrefix;
   if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
-    findings.add(placeOf("routes", i, "prefix"),
+    findings.add(locationOf("routes", i, "prefix"),
                  "expected a path that begins and ends with a slash");
   if (route.Timeout <= Duration::zero())
-    findings.add(placeOf("routes", i, "timeout"), "expected more than 0");
+    findings.add(locationOf("routes", i, "timeout"), "expected more than 0");
 }
 
 } // namespace
@@ -48,14 +48,14 @@
   ServiceNames services;
   for (std::size_t i = 0; i < Services.size(); ++i)
     if (!services.insert(Services[i].Name).second)
-      findings.add(placeOf("services", i, "name"),
+      findings.add(locationOf("services", i, "name"),
                    "service '" + Services[i].Name.str() + "' stands twice");
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> hostsAndPrefixes;
   for (std::size_t i = 0; i < Routes.size(); ++i) {
     const RouteSpec &route = Routes[i];
     checkRoute(route, i, services, findings);
-    if (!places.emplace(route.Host, route.PathPrefix).second)
-      findings.add(placeOf("routes", i, "prefix"),
+    if (!hostsAndPrefixes.emplace(route.Host, route.PathPrefix).second)
+      findings.add(locationOf("routes", i, "prefix"),
                    "another route has the same host and prefix");
   }
   checkAccounts(Accounts, findings);
--- a/packages/forward/pimentofront/src/Forward/SendPermits.cpp
+++ b/packages/forward/pimentofront/src/Forward/SendPermits.cpp
@@ -8,43 +8,43 @@
 
 /// If the leader doesn't reply to a query within this time, the entry looks for
 /// the leader again.
-constexpr Duration AskTimeout = std::chrono::milliseconds(400);
+constexpr Duration QueryTimeout = std::chrono::milliseconds(400);
 /// Delay between two attempts to find a leader that replies.
-constexpr Duration AskPause = std::chrono::milliseconds(100);
+constexpr Duration QueryRetryDelay = std::chrono::milliseconds(100);
 /// Number of servers at which those without a recent query are removed.
-constexpr std::size_t MostKept = 256;
-constexpr Duration KeptUnused = std::chrono::seconds(30);
+constexpr std::size_t MaxTrackedServers = 256;
+constexpr Duration UnusedTimeout = std::chrono::seconds(30);
 
 } // namespace
 
 bool SendPermits::has(TimePoint now, const ServerProcess &server) const {
   const auto it = Servers.find(server);
-  return it != Servers.end() && now >= it->second.GoodFrom &&
-         now < it->second.GoodUntil;
+  return it != Servers.end() && now >= it->second.ValidFrom &&
+         now < it->second.ValidUntil;
 }
 
 void SendPermits::use(const ServerProcess &server) {
   const auto it = Servers.find(server);
   assert(it != Servers.end() && "use() needs a permit");
-  it->second.GoodUntil = it->second.GoodFrom;
+  it->second.ValidUntil = it->second.ValidFrom;
 }
 
 void SendPermits::want(TimePoint now, const ServerProcess &server,
                        const RateLimit &limit, const ColdStart &cold) {
-  if (Servers.size() >= MostKept)
-    forgetUnused(now);
-  Known &it = Servers[server];
-  if (it.Nonce != 0 || now < it.NextAskAt || now < it.GoodUntil)
+  if (Servers.size() >= MaxTrackedServers)
+    removeUnused(now);
+  ServerState &it = Servers[server];
+  if (it.Nonce != 0 || now < it.NextQueryAt || now < it.ValidUntil)
     return;
   it.Nonce = ++LastNonce;
-  it.AskedAt = now;
+  it.QueriedAt = now;
   Queries.push_back(
       {.Nonce = it.Nonce, .Server = server, .Limit = limit, .Cold = cold});
 }
 
-void SendPermits::forgetUnused(TimePoint now) {
+void SendPermits::removeUnused(TimePoint now) {
   std::erase_if(Servers, [&](const auto &it) {
-    return it.second.Nonce == 0 && now >= it.second.AskedAt + KeptUnused;
+    return it.second.Nonce == 0 && now >= it.second.QueriedAt + UnusedTimeout;
   });
 }
 
@@ -53,9 +53,9 @@
   const auto it = Servers.find(server);
   if (it == Servers.end())
     return now;
-  const Known &known = it->second;
-  const bool given = now < known.GoodUntil;
-  return std::max(now, given ? known.GoodFrom : known.NextAskAt);
+  const ServerState &known = it->second;
+  const bool isGranted = now < known.ValidUntil;
+  return std::max(now, isGranted ? known.ValidFrom : known.NextQueryAt);
 }
 
 std::vector<SendPermitQuery> SendPermits::takeQueries() {
@@ -68,13 +68,13 @@
   });
   if (reply.Nonce == 0 || it == Servers.end())
     return;
-  Known &known = it->second;
+  ServerState &known = it->second;
   known.Nonce = 0;
-  known.NextAskAt = now + reply.ComeBack;
+  known.NextQueryAt = now + reply.ComeBack;
   if (!reply.Granted)
     return;
-  known.GoodFrom = now + reply.Delay;
-  known.GoodUntil = known.GoodFrom + reply.Lifetime;
+  known.ValidFrom = now + reply.Delay;
+  known.ValidUntil = known.ValidFrom + reply.Lifetime;
 }
 
 void SendPermits::onLinkLost(TimePoint now) {
@@ -83,13 +83,13 @@
     if (it.Nonce == 0)
       continue;
     it.Nonce = 0;
-    it.NextAskAt = now + AskPause;
+    it.NextQueryAt = now + QueryRetryDelay;
   }
 }
 
 bool SendPermits::unanswered(TimePoint now) const {
   return std::ranges::any_of(Servers, [&](const auto &it) {
-    return it.second.Nonce != 0 && now >= it.second.AskedAt + AskTimeout;
+    return it.second.Nonce != 0 && now >= it.second.QueriedAt + QueryTimeout;
   });
 }
 
--- a/packages/forward/pimentofront/src/Forward/SendPermits.h
+++ b/packages/forward/pimentofront/src/Forward/SendPermits.h
@@ -45,18 +45,18 @@
   bool unanswered(TimePoint now) const;
 
 private:
-  struct Known {
+  struct ServerState {
     /// Nonce of the query in flight; 0 for none.
     std::uint64_t Nonce = 0;
-    TimePoint AskedAt;
-    TimePoint NextAskAt;
+    TimePoint QueriedAt;
+    TimePoint NextQueryAt;
     /// Validity period of the permit; empty if there is none.
-    TimePoint GoodFrom;
-    TimePoint GoodUntil;
+    TimePoint ValidFrom;
+    TimePoint ValidUntil;
   };
-  void forgetUnused(TimePoint now);
+  void removeUnused(TimePoint now);
 
-  std::map<ServerProcess, Known> Servers;
+  std::map<ServerProcess, ServerState> Servers;
   std::vector<SendPermitQuery> Queries;
   std::uint64_t LastNonce = 0;
 };
--- a/packages/forward/pimentofront/src/Forward/ServerFeedback.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerFeedback.cpp
@@ -22,11 +22,11 @@
   return RateLimit{.Age = now - sentAt};
 }
 
-std::string ServerFeedback::learnLimit(TimePoint now, const RateLimit &limit) {
+std::string ServerFeedback::applyLimit(TimePoint now, const RateLimit &limit) {
   const KnownRateLimit before = Limit;
   if (!Limit.apply(now, limit))
     return {};
-  return "limit " + describe(Limit) + ", before " + describe(before);
+  return "limit " + describe(Limit) + ", previously " + describe(before);
 }
 
 std::string ServerFeedback::apply(TimePoint now, const AnswerFeedback &answer,
@@ -37,11 +37,11 @@
       changes += (changes.empty() ? "" : "; ") + text;
   };
   if (!answer.Unreadable.empty())
-    add("unreadable " + answer.Unreadable);
-  if (const auto word = answer.limitWord(now, sentAt))
-    add(learnLimit(now, *word));
+    add("unreadable header " + answer.Unreadable);
+  if (const auto reported = answer.limitWord(now, sentAt))
+    add(applyLimit(now, *reported));
   if (answer.Rest) {
-    add("rest " + std::to_string(toSeconds(*answer.Rest)) + " s");
+    add("backoff " + std::to_string(toSeconds(*answer.Rest)) + " s");
     RestUntil = std::max(RestUntil, now + *answer.Rest);
   }
   if (answer.Leaving && !Leaving)
--- a/packages/forward/pimentofront/src/Forward/ServerFeedback.h
+++ b/packages/forward/pimentofront/src/Forward/ServerFeedback.h
@@ -46,10 +46,10 @@
   /// Upper bound on a backoff. A server that needs a longer one asks again, and
   /// a mistaken value must not keep a server that has recovered out of use for
   /// long.
-  static constexpr Duration MaxRest = std::chrono::hours(1);
+  static constexpr Duration MaxBackoff = std::chrono::hours(1);
   /// \returns a backoff of \p seconds, capped at the maximum.
   static Duration boundedRest(double seconds) {
-    return fromSeconds(std::min(seconds, toSeconds(MaxRest)));
+    return fromSeconds(std::min(seconds, toSeconds(MaxBackoff)));
   }
 
   /// Applies the feedback of an answer to a request that was sent at \p sentAt.
@@ -58,13 +58,13 @@
                     TimePoint sentAt);
   /// Applies the rate limit as another process reported it.
   /// \returns what changed, for the log; empty if nothing did.
-  std::string learnLimit(TimePoint now, const RateLimit &limit);
+  std::string applyLimit(TimePoint now, const RateLimit &limit);
 
   bool isLimited() const { return Limit.isNamed(); }
   /// \returns the limit and its age, to report to other processes.
   RateLimit limit(TimePoint now) const { return Limit.at(now); }
   bool isResting(TimePoint now) const { return now < RestUntil; }
-  TimePoint restUntil() const { return RestUntil; }
+  TimePoint backoffUntil() const { return RestUntil; }
   bool isLeaving() const { return Leaving; }
   friend auto operator<=>(const ServerFeedback &,
                           const ServerFeedback &) = default;
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -10,9 +10,9 @@
 }
 
 /// \returns \p first, doubled with each failure up to 16 times.
-Duration pauseAfter(Duration first, std::uint32_t failures) {
-  constexpr std::uint32_t MostDoublings = 4;
-  return first * (1U << std::min(failures, MostDoublings));
+Duration backoffDelay(Duration first, std::uint32_t failures) {
+  constexpr std::uint32_t MaxDoublings = 4;
+  return first * (1U << std::min(failures, MaxDoublings));
 }
 
 template <class Views> void markUnconfirmed(Views &views) {
@@ -26,7 +26,7 @@
 
 } // namespace
 
-bool isOf(const MemberRecord &server, const ServiceName &service) {
+bool belongsTo(const MemberRecord &server, const ServiceName &service) {
   return std::ranges::find(server.Services, service) != server.Services.end();
 }
 
@@ -45,7 +45,7 @@
     dropUnconfirmed(Servers);
     dropUnconfirmed(Agents);
   }
-  joinAgents();
+  matchAgentsToServers();
 }
 
 void ServerSet::put(TimePoint now, const MemberRecord &record) {
@@ -73,37 +73,38 @@
   if (isNew)
     view = ServerView();
   view.Record = record;
-  noteCold(view, now + record.ColdFor);
+  extendColdPeriod(view, now + record.ColdFor);
   view.Unconfirmed = false;
   if (isNew)
-    dropOthersAt(record);
+    removeOthersAtAddress(record);
 }
 
 /// A new process at an address implies that the former one there has exited.
-void ServerSet::dropOthersAt(const MemberRecord &record) {
+void ServerSet::removeOthersAtAddress(const MemberRecord &record) {
   std::erase_if(Servers, [&](const auto &it) {
     return it.first != record.Host &&
            it.second.Record.Address == record.Address;
   });
 }
 
-void ServerSet::joinAgents() {
+void ServerSet::matchAgentsToServers() {
   // A host may run servers of several services; an agent belongs to one
   // service.
-  std::map<std::pair<std::string, ServiceName>, const ServerView *> byPlace;
+  std::map<std::pair<std::string, ServiceName>, const ServerView *>
+      byAddressAndService;
   for (const auto &[host, it] : Servers)
     for (const ServiceName &service : it.Record.Services)
       if (isInUse(it))
-        byPlace[{ipOf(it.Record.Address), service}] = &it;
-  Beside.clear();
+        byAddressAndService[{ipOf(it.Record.Address), service}] = &it;
+  ServerByAgent.clear();
   for (auto &[host, agent] : Agents) {
-    const auto it = byPlace.find(
+    const auto it = byAddressAndService.find(
         {ipOf(agent.Record.Address), ServiceName(agent.Record.BaseModel)});
-    agent.Drained = it == byPlace.end();
+    agent.Drained = it == byAddressAndService.end();
     if (agent.Drained)
       continue;
-    Beside[host] = it->second->Record.Host;
-    agent.RestUntil = feedbackOf(it->second->Record.process()).restUntil();
+    ServerByAgent[host] = it->second->Record.Host;
+    agent.RestUntil = feedbackOf(it->second->Record.process()).backoffUntil();
   }
 }
 
@@ -118,14 +119,14 @@
 }
 
 ServerView *ServerSet::beside(const HostName &agent) {
-  const auto it = Beside.find(agent);
-  return it == Beside.end() ? nullptr : find(it->second);
+  const auto it = ServerByAgent.find(agent);
+  return it == ServerByAgent.end() ? nullptr : find(it->second);
 }
 
 bool ServerSet::serves(const ServiceName &service,
                        const AllowedZones &zones) const {
   return std::ranges::any_of(Servers, [&](const auto &it) {
-    return isOf(it.second.Record, service) && isInUse(it.second) &&
+    return belongsTo(it.second.Record, service) && isInUse(it.second) &&
            zones.contains(it.second.Record.Zone);
   });
 }
@@ -134,7 +135,7 @@
   double sum = 0;
   std::size_t n = 0;
   for (const auto &[host, it] : Servers) {
-    if (!isOf(it.Record, service))
+    if (!belongsTo(it.Record, service))
       continue;
     sum += it.FailureShare;
     ++n;
@@ -146,7 +147,7 @@
                           double siblingFailures) const {
   const double slots = std::max(server.Record.Slots, 1U);
   std::uint32_t busy = server.InFlight;
-  if (now < server.LoadAt + Options.LoadLifetime)
+  if (now < server.LoadReportedAt + Options.LoadLifetime)
     busy = std::max(busy, server.Load.Running + server.Load.Waiting);
   double score = busy / slots;
   if (server.Record.Zone != Options.Zone)
@@ -168,9 +169,9 @@
     const ZoneName &zone = it.Record.Zone;
     const ServiceSpec *spec = specOf(it);
     if (spec && before.contains(zone) && !isEvacuated(zone))
-      noteCold(it, now + spec->ColdTime);
+      extendColdPeriod(it, now + spec->ColdTime);
   }
-  joinAgents();
+  matchAgentsToServers();
 }
 
 const ServiceSpec *ServerSet::specOf(const ServerView &server) const {
@@ -180,9 +181,9 @@
   return it == Services.end() ? nullptr : &it->second;
 }
 
-void ServerSet::noteCold(ServerView &server, TimePoint until) {
+void ServerSet::extendColdPeriod(ServerView &server, TimePoint until) {
   server.ColdUntil = std::max(server.ColdUntil, until);
-  AllWarmAt = std::max(AllWarmAt, until);
+  LastColdUntil = std::max(LastColdUntil, until);
 }
 
 ColdStart ServerSet::coldStartOf(TimePoint now,
@@ -207,7 +208,7 @@
 }
 
 void ServerSet::onEntries(TimePoint now, std::uint32_t entries) {
-  Entries.note(now, entries);
+  Entries.recordCount(now, entries);
 }
 
 ConnectionPart ServerSet::connections(TimePoint now,
@@ -233,7 +234,7 @@
                        const ServiceName &service,
                        const std::vector<ServerProcess> &without,
                        const AllowedZones &zones) const {
-  return isOf(server.Record, service) && isInUse(server) &&
+  return belongsTo(server.Record, service) && isInUse(server) &&
          zones.contains(server.Record.Zone) &&
          !feedbackOf(server.Record.process()).isResting(now) &&
          std::ranges::find(without, server.Record.process()) == without.end() &&
@@ -246,7 +247,7 @@
                         const AllowedZones &zones) const {
   std::vector<ServerProcess> result;
   // Fast path: usually no server has sent feedback and none is cold.
-  if (Feedback.empty() && now >= AllWarmAt)
+  if (Feedback.empty() && now >= LastColdUntil)
     return result;
   for (const auto &[host, it] : Servers)
     if (isPaced(now, it) && isOpen(now, it, service, without, zones))
@@ -260,7 +261,7 @@
                               const AllowedZones &zones) {
   const double failures = meanFailureShare(service);
   ServerView *best = nullptr;
-  std::pair<bool, double> least;
+  std::pair<bool, double> bestRank;
   for (auto &[host, it] : Servers) {
     if (!isOpen(now, it, service, without, zones))
       continue;
@@ -268,10 +269,10 @@
       continue;
     const std::pair<bool, double> rank{now < it.SuspendedUntil,
                                        scoreOf(now, it, failures)};
-    if (best && rank >= least)
+    if (best && rank >= bestRank)
       continue;
     best = &it;
-    least = rank;
+    bestRank = rank;
   }
   return best;
 }
@@ -292,7 +293,7 @@
   const bool failed = outcome != ServerOutcome::Answered;
   it->FailureShare += Options.FailureWeight * (failed - it->FailureShare);
   if (outcome == ServerOutcome::Unreachable) {
-    it->SuspendedUntil = now + pauseAfter(Options.SuspendTime, it->Failures);
+    it->SuspendedUntil = now + backoffDelay(Options.SuspendTime, it->Failures);
     ++it->Failures;
   } else {
     it->Failures = 0;
@@ -302,17 +303,18 @@
 }
 
 void ServerSet::ejectIfFailing(TimePoint now, ServerView &server) {
-  const auto agent = std::ranges::find_if(
-      Beside, [&](const auto &it) { return it.second == server.Record.Host; });
-  if (agent == Beside.end() || server.Record.Services.empty())
+  const auto agent = std::ranges::find_if(ServerByAgent, [&](const auto &it) {
+    return it.second == server.Record.Host;
+  });
+  if (agent == ServerByAgent.end() || server.Record.Services.empty())
     return;
   const double mean = meanFailureShare(server.Record.Services.front());
-  if (server.FailureShare < mean + Options.EjectAbove)
+  if (server.FailureShare < mean + Options.EjectThreshold)
     return;
-  const auto out = std::ranges::count_if(
+  const auto suspended = std::ranges::count_if(
       Agents, [&](const auto &it) { return it.second.SuspendedUntil > now; });
-  if (static_cast<double>(out) >=
-      Options.EjectShare * static_cast<double>(Agents.size()))
+  if (static_cast<double>(suspended) >=
+      Options.MaxEjectedShare * static_cast<double>(Agents.size()))
     return;
   Agents[agent->first].SuspendedUntil = now + Options.EjectTime;
   // Otherwise its first failure after the ejection would eject it again.
@@ -323,22 +325,22 @@
                          const ServerLoad &load) {
   if (ServerView *it = find(server)) {
     it->Load = load;
-    it->LoadAt = now;
+    it->LoadReportedAt = now;
   }
 }
 
-ServerFeedback *ServerSet::keptFeedback(const ServerProcess &server) {
-  constexpr std::size_t MostKept = 4096;
+ServerFeedback *ServerSet::findOrAddFeedback(const ServerProcess &server) {
+  constexpr std::size_t MaxFeedbackEntries = 4096;
   // Late feedback of a former process doesn't apply to the registered one.
   const auto registered = Servers.find(server.Name);
   if (registered != Servers.end() &&
       !maybeSame(registered->second.Record.process(), server))
     return nullptr;
-  if (Feedback.size() >= MostKept)
+  if (Feedback.size() >= MaxFeedbackEntries)
     std::erase_if(Feedback, [&](const auto &it) {
       return it.first != server.Name && !find(it.second.Process);
     });
-  KnownFeedback &it = Feedback[server.Name];
+  FeedbackEntry &it = Feedback[server.Name];
   if (!maybeSame(it.Process, server))
     it = {.Process = server};
   return &it.Feedback;
@@ -350,22 +352,22 @@
   if (feedback == AnswerFeedback() && !Feedback.contains(server.Name))
     return {};
   if (ServerView *view = find(server); view && feedback.ColdFor)
-    noteCold(*view, now + *feedback.ColdFor);
-  ServerFeedback *it = keptFeedback(server);
+    extendColdPeriod(*view, now + *feedback.ColdFor);
+  ServerFeedback *it = findOrAddFeedback(server);
   if (!it)
     return {};
   const bool wasLeaving = it->isLeaving();
   std::string changes = it->apply(now, feedback, sentAt);
   if (it->isLeaving() != wasLeaving)
-    joinAgents();
+    matchAgentsToServers();
   if (feedback.Rest)
-    noteRest(server);
+    updateAgentBackoff(server);
   return changes;
 }
 
-void ServerSet::noteRest(const ServerProcess &server) {
-  const TimePoint until = feedbackOf(server).restUntil();
-  for (const auto &[agent, host] : Beside)
+void ServerSet::updateAgentBackoff(const ServerProcess &server) {
+  const TimePoint until = feedbackOf(server).backoffUntil();
+  for (const auto &[agent, host] : ServerByAgent)
     if (host == server.Name)
       Agents.at(agent).RestUntil = until;
 }
@@ -387,10 +389,10 @@
                                              const AllowedZones &zones) const {
   std::optional<TimePoint> first;
   for (const auto &[host, it] : Servers) {
-    if (!isOf(it.Record, service) || !isInUse(it) ||
+    if (!belongsTo(it.Record, service) || !isInUse(it) ||
         !zones.contains(it.Record.Zone))
       continue;
-    const TimePoint until = feedbackOf(it.Record.process()).restUntil();
+    const TimePoint until = feedbackOf(it.Record.process()).backoffUntil();
     if (until <= now)
       return std::nullopt;
     first = std::min(first.value_or(until), until);
@@ -402,8 +404,8 @@
                                  const RateLimit &limit) {
   if (!limit.Named)
     return {};
-  ServerFeedback *it = keptFeedback(server);
-  return it ? it->learnLimit(now, limit) : std::string();
+  ServerFeedback *it = findOrAddFeedback(server);
+  return it ? it->applyLimit(now, limit) : std::string();
 }
 
 ServerFeedback ServerSet::feedbackOf(const ServerProcess &server) const {
@@ -417,8 +419,9 @@
   ServerView *view = find(server);
   if (!view)
     return;
-  view->SuspendedUntil = now + pauseAfter(Options.SuspendTime, view->Failures);
-  for (const auto &[agent, host] : Beside)
+  view->SuspendedUntil =
+      now + backoffDelay(Options.SuspendTime, view->Failures);
+  for (const auto &[agent, host] : ServerByAgent)
     if (host == server.Name)
       suspendAgent(now, agent);
 }
@@ -428,7 +431,7 @@
   if (it == Agents.end())
     return;
   it->second.SuspendedUntil =
-      now + pauseAfter(Options.SuspendTime, it->second.Failures);
+      now + backoffDelay(Options.SuspendTime, it->second.Failures);
   ++it->second.Failures;
 }
 
--- a/packages/forward/pimentofront/src/Forward/ServerSet.h
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.h
@@ -20,7 +20,7 @@
   ConnectionShare Connections;
   /// The load that the server reported last, and when the report arrived.
   ServerLoad Load;
-  TimePoint LoadAt;
+  TimePoint LoadReportedAt;
   /// Set after connections failed. Until then the server is chosen only if no
   /// other server is available.
   TimePoint SuspendedUntil;
@@ -79,10 +79,10 @@
   double FailureWeight = 0.2;
   /// An engine is ejected for EjectTime when its share of failures exceeds the
   /// mean of its service by this much. Two failures in a row suffice.
-  double EjectAbove = 0.3;
+  double EjectThreshold = 0.3;
   Duration EjectTime = std::chrono::seconds(2);
   /// Maximum fraction of the engines that may be ejected at the same time.
-  double EjectShare = 0.34;
+  double MaxEjectedShare = 0.34;
   /// Added to a server's score, as a fraction of its slots, per unit by which
   /// its share of failures exceeds the mean of its service. At 3, a server
   /// whose share is higher by a third is chosen last.
@@ -183,7 +183,7 @@
 
 private:
   /// Copies the end of the server's backoff to the agent on its host.
-  void noteRest(const ServerProcess &server);
+  void updateAgentBackoff(const ServerProcess &server);
   bool isLeaving(const ServerView &server) const;
   /// \returns whether the server is neither leaving nor in an evacuated zone.
   bool isInUse(const ServerView &server) const {
@@ -198,14 +198,14 @@
   /// \returns the routing document's entry for the server's service, or null.
   const ServiceSpec *specOf(const ServerView &server) const;
   /// Extends the server's cold period to at least \p until.
-  void noteCold(ServerView &server, TimePoint until);
+  void extendColdPeriod(ServerView &server, TimePoint until);
   ColdStart coldStartOf(TimePoint now, const ServerView &server) const;
   /// \returns whether each send to the server needs a permit, because the
   /// server is rate limited or cold.
   bool isPaced(TimePoint now, const ServerView &server) const;
   void put(TimePoint now, const MemberRecord &record);
-  void dropOthersAt(const MemberRecord &record);
-  void joinAgents();
+  void removeOthersAtAddress(const MemberRecord &record);
+  void matchAgentsToServers();
   double scoreOf(TimePoint now, const ServerView &server,
                  double siblingFailures) const;
   double meanFailureShare(const ServiceName &service) const;
@@ -218,28 +218,28 @@
   std::map<ServiceName, ServiceSpec> Services;
   std::set<ZoneName> Evacuated;
   /// Latest end of the cold periods: no server is cold from then on.
-  TimePoint AllWarmAt;
+  TimePoint LastColdUntil;
   std::map<HostName, ServerView> Servers;
   MemberViews Agents;
   /// \returns the stored feedback of the process, added if necessary; null if
   /// another process is registered under its name.
-  ServerFeedback *keptFeedback(const ServerProcess &server);
+  ServerFeedback *findOrAddFeedback(const ServerProcess &server);
 
   bool Complete = false;
-  struct KnownFeedback {
+  struct FeedbackEntry {
     ServerProcess Process;
     ServerFeedback Feedback;
   };
   /// Not part of Servers, so that feedback survives a registration that expires
   /// and is renewed by the same process.
-  std::map<HostName, KnownFeedback> Feedback;
+  std::map<HostName, FeedbackEntry> Feedback;
   /// Maps an agent's host to the server with the agent's IP address and base
   /// model.
-  std::map<HostName, HostName> Beside;
+  std::map<HostName, HostName> ServerByAgent;
 };
 
 /// \returns whether \p server belongs to \p service.
-bool isOf(const MemberRecord &server, const ServiceName &service);
+bool belongsTo(const MemberRecord &server, const ServiceName &service);
 
 } // namespace pimentofront
 
--- a/test/AllotmentTest.cpp
+++ b/test/AllotmentTest.cpp
@@ -44,7 +44,7 @@
   std::size_t Bytes = 0;
   double Units = 0;
   /// Maximum number of units that ran within one window.
-  double MostInWindow = 0;
+  double MaxInWindow = 0;
 };
 
 /// Simulates a ledger, the entries that lease its units and the callers of one
@@ -57,20 +57,22 @@
                                     .Limit = options.Limit} {
     for (std::size_t i = 0; i < options.Entries; ++i)
       Entries.push_back(newEntry());
-    elect(Start - 1h, /*lastLongAgo=*/true);
+    elect(Start - 1h, /*noRecentLedger=*/true);
   }
 
   /// Makes another replica the leader. Units that the former ledger granted
   /// remain leased.
-  void elect(TimePoint now, bool lastLongAgo) {
+  void elect(TimePoint now, bool noRecentLedger) {
     Ledger = std::make_unique<AllotmentLedger>(Options.Rules, Sizing);
-    Ledger->begin(now, ++Term, lastLongAgo);
+    Ledger->begin(now, ++Term, noRecentLedger);
     Ledger->setAccounts(now, AccountTable({Account}));
     LeaderUp = true;
   }
   void killLeader() { LeaderUp = false; }
   void cutOff(std::size_t i, bool cut) { Entries[i].Cut = cut; }
-  void freeze(std::size_t i, bool frozen) { Entries[i].Frozen = frozen; }
+  void suspend(std::size_t i, bool suspended) {
+    Entries[i].Suspended = suspended;
+  }
   void restart(std::size_t i) { Entries[i] = newEntry(); }
   void setLimit(TimePoint now, double perSecond) {
     Account.Limit.PerSecond = perSecond;
@@ -95,14 +97,14 @@
   struct Entry {
     std::uint64_t Incarnation = 0;
     std::unique_ptr<AllotmentLeases> Leases;
-    std::vector<Charged> UnderWay;
+    std::vector<Charged> InFlight;
     /// Whether the reference bucket admitted the request, by its key.
     std::map<std::uint64_t, bool> Waiting;
     std::size_t Callers = 0;
     bool Cut = false;
-    bool Frozen = false;
+    bool Suspended = false;
   };
-  struct Mail {
+  struct Delivery {
     TimePoint At;
     std::uint64_t To = 0;
     AllotmentGrants Grants;
@@ -128,7 +130,7 @@
   }
 
   void runEntry(TimePoint now, Entry &entry) {
-    if (entry.Frozen)
+    if (entry.Suspended)
       return;
     for (; entry.Callers > 0; --entry.Callers)
       takeRequest(now, entry);
@@ -167,13 +169,13 @@
   }
 
   void send(TimePoint now, Entry &entry, const AllotmentCharge &charge) {
-    entry.UnderWay.push_back({charge, now});
+    entry.InFlight.push_back({charge, now});
   }
 
   /// After BeginAfter, a server has started the request or declined it.
   void settle(TimePoint now, Entry &entry) {
     constexpr Duration BeginAfter = 300ms;
-    std::erase_if(entry.UnderWay, [&](Charged &it) {
+    std::erase_if(entry.InFlight, [&](Charged &it) {
       if (now < it.SentAt + BeginAfter)
         return false;
       if (Draw.uniform() < Options.NotRunShare) {
@@ -182,13 +184,13 @@
       }
       // The request counts from the time of its admission, since its caller had
       // sent it by then.
-      noteRun(it.SentAt, it.Charge.Units);
+      recordRun(it.SentAt, it.Charge.Units);
       entry.Leases->spend(it.Charge);
       return true;
     });
   }
 
-  void noteRun(TimePoint at, double units) {
+  void recordRun(TimePoint at, double units) {
     ++Result.Sent;
     Result.Units += units;
     Runs.push_back({at, units});
@@ -205,18 +207,18 @@
       Result.Bytes += encodeFrame({.Content = Incoming.back().Grants}).size();
     }
     while (!Incoming.empty() && Incoming.front().At <= now) {
-      const Mail mail = Incoming.front();
+      const Delivery delivery = Incoming.front();
       Incoming.pop_front();
       for (Entry &it : Entries)
-        if (it.Incarnation == mail.To && !it.Cut)
-          onGrants(now, it, mail.Grants);
+        if (it.Incarnation == delivery.To && !it.Cut)
+          onGrants(now, it, delivery.Grants);
     }
   }
 
   void onGrants(TimePoint now, Entry &entry, const AllotmentGrants &grants) {
     // A suspended process reads the grants only after it resumes, when they are
     // no longer of use.
-    if (entry.Frozen)
+    if (entry.Suspended)
       return;
     for (const AllotmentDecision &it : entry.Leases->onGrants(now, grants)) {
       const auto waiting = entry.Waiting.extract(it.Key);
@@ -232,7 +234,7 @@
 
 public:
   /// \returns the maximum number of units that ran in any window.
-  double mostInWindow(Duration window) {
+  double maxInWindow(Duration window) {
     std::ranges::sort(Runs);
     double sum = 0;
     double most = 0;
@@ -263,7 +265,7 @@
   std::uint64_t LastIncarnation = 0;
   std::uint64_t LastKey = 0;
   std::deque<std::pair<TimePoint, AllotmentReport>> Outgoing;
-  std::deque<Mail> Incoming;
+  std::deque<Delivery> Incoming;
   std::vector<std::pair<TimePoint, double>> Runs;
   FleetResult Result;
 };
@@ -278,7 +280,7 @@
          options.Rules.Slack;
 }
 
-void playCalm(Fleet &fleet, Duration d) {
+void runWithoutFaults(Fleet &fleet, Duration d) {
   for (TimePoint now = Start; now < Start + d; now += Step)
     fleet.step(now, Step);
 }
@@ -286,7 +288,7 @@
 /// Kills leaders and cuts off, suspends and restarts entries at random. The
 /// leader changes at most once a window, unless the new leader can't tell how
 /// long ago the former one started.
-void playTroubled(Fleet &fleet, Duration d) {
+void runWithFaults(Fleet &fleet, Duration d) {
   Random &draw = fleet.draw();
   TimePoint lastElection = Start - 1h;
   for (TimePoint now = Start; now < Start + d; now += Step) {
@@ -295,7 +297,7 @@
     if (draw.uniform() < PerStep)
       fleet.cutOff(i, draw.uniform() < 0.5);
     if (draw.uniform() < PerStep)
-      fleet.freeze(i, draw.uniform() < 0.5);
+      fleet.suspend(i, draw.uniform() < 0.5);
     if (draw.uniform() < PerStep)
       fleet.restart(i);
     if (draw.uniform() < PerStep / 4)
@@ -324,9 +326,9 @@
   const LeaseSizing &sizing =
       seed % 4 == 0 ? static_cast<const LeaseSizing &>(exact) : byUse;
   Fleet fleet(options, sizing);
-  playTroubled(fleet, 20s);
+  runWithFaults(fleet, 20s);
   CAPTURE(seed);
-  CHECK(fleet.mostInWindow(options.Rules.Window) <= bound(options));
+  CHECK(fleet.maxInWindow(options.Rules.Window) <= bound(options));
 }
 
 TEST_CASE("no window exceeds the allotment in 10,000 random schedules",
@@ -338,9 +340,9 @@
     options.UnitsOfRequest = seed % 3 == 0 ? 300 : 9200;
     options.Rules.Slack = seed % 2 == 0 ? 110'000 : 0;
     Fleet fleet(options, byUse);
-    playTroubled(fleet, 15s);
+    runWithFaults(fleet, 15s);
     CAPTURE(seed);
-    REQUIRE(fleet.mostInWindow(options.Rules.Window) <= bound(options));
+    REQUIRE(fleet.maxInWindow(options.Rules.Window) <= bound(options));
   }
 }
 
@@ -355,7 +357,7 @@
   options.Limit.Burst = rate;
   Fleet fleet(options,
               inAdvance ? static_cast<const LeaseSizing &>(byUse) : exact);
-  playCalm(fleet, 60s);
+  runWithoutFaults(fleet, 60s);
   CAPTURE(seed, rate, inAdvance);
   CHECK(fleet.result().RefusedBelowLimit == 0);
   CHECK(fleet.result().Sent > 0);
@@ -365,30 +367,30 @@
   const LeasesByUse byUse;
   FleetOptions options{.Load = 4.4};
   Fleet fleet(options, byUse);
-  playCalm(fleet, 60s);
+  runWithoutFaults(fleet, 60s);
   CHECK(fleet.result().Units >=
         0.97 * options.Limit.PerSecond * toSeconds(60s));
-  CHECK(fleet.mostInWindow(8s) <= bound(options));
+  CHECK(fleet.maxInWindow(8s) <= bound(options));
 }
 
 TEST_CASE("a reduced limit takes full effect one window after it is known") {
   const LeasesByUse byUse;
   FleetOptions options{.Load = 4};
   Fleet fleet(options, byUse);
-  playCalm(fleet, 20s);
-  const TimePoint fell = Start + 20s;
-  fleet.setLimit(fell, 5'000);
-  FleetOptions lower = options;
-  lower.Limit.PerSecond = 5'000;
-  lower.Limit.Burst = 5'000;
+  runWithoutFaults(fleet, 20s);
+  const TimePoint reducedAt = Start + 20s;
+  fleet.setLimit(reducedAt, 5'000);
+  FleetOptions reduced = options;
+  reduced.Limit.PerSecond = 5'000;
+  reduced.Limit.Burst = 5'000;
   const double before = fleet.result().Units;
-  for (TimePoint now = fell; now < fell + 8s; now += Step)
+  for (TimePoint now = reducedAt; now < reducedAt + 8s; now += Step)
     fleet.step(now, Step);
   (void)before;
   const double atEnd = fleet.result().Units;
-  for (TimePoint now = fell + 8s; now < fell + 16s; now += Step)
+  for (TimePoint now = reducedAt + 8s; now < reducedAt + 16s; now += Step)
     fleet.step(now, Step);
-  CHECK(fleet.result().Units - atEnd <= bound(lower));
+  CHECK(fleet.result().Units - atEnd <= bound(reduced));
 }
 
 TEST_CASE("a request larger than the burst waits for a full bucket") {
@@ -472,7 +474,7 @@
     options.Limit.PerSecond = rate;
     options.Limit.Burst = rate;
     Fleet fleet(options, *it);
-    playCalm(fleet, 30s);
+    runWithoutFaults(fleet, 30s);
     const FleetResult result = fleet.result();
     const auto requests = static_cast<double>(result.Sent + result.Refused);
     WARN(entries << " entries, " << rate << " units/s, load " << load
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -51,11 +51,11 @@
 }
 
 /// Keeps idle connections for long enough even on a heavily loaded machine.
-constexpr UpstreamPoolOptions Lasting{.DefaultKeep = 1min, .OnceIdle = 1min};
+constexpr UpstreamPoolOptions LongIdle{.DefaultKeep = 1min, .OnceIdle = 1min};
 
 /// An HTTP server on loopback and a connection pool that sends requests to it.
 struct PoolUnderTest : UpstreamHandler, CallerHandler {
-  explicit PoolUnderTest(const UpstreamPoolOptions &options = Lasting)
+  explicit PoolUnderTest(const UpstreamPoolOptions &options = LongIdle)
       : Server(Loop, {.Address = ownAddress()}, *this),
         Pool(Loop, options, *this) {}
 
@@ -77,23 +77,23 @@
     Endings.push_back(ending);
   }
 
-  void send(std::uint32_t most, bool once = false) {
+  void send(std::uint32_t maxOpen, bool once = false) {
     const HostPort to = ownAddress();
     Pool.send({.Attempt = {1, ++Sent},
                .Address = to.Ip + ":" + std::to_string(to.Port),
                .Head = {"GET", "/", {{"Host", "h"}}},
                .Body = std::make_shared<const std::string>(),
                .Once = once,
-               .Connections = {.Open = most, .Kept = most}});
+               .Connections = {.Open = maxOpen, .Kept = maxOpen}});
   }
   void turnUntil(const std::function<bool()> &done) {
     while (!done())
       event_base_loop(Loop.base(), EVLOOP_ONCE);
   }
   /// Sends \p n requests together and answers them all.
-  void exchange(std::size_t n, std::uint32_t most, bool once = false) {
+  void exchange(std::size_t n, std::uint32_t maxOpen, bool once = false) {
     for (std::size_t i = 0; i < n; ++i)
-      send(most, once);
+      send(maxOpen, once);
     turnUntil([&] { return Asked.size() == n; });
     for (const CallerKey it : std::exchange(Asked, {}))
       Server.reply(it, {.Status = 200, .Headers = {}}, "ok");
@@ -131,35 +131,35 @@
 
 TEST_CASE("entries whose share is below one connection keep none idle") {
   const ConnectionPart part = ConnectionShare().part(Now, Cap, 400, Options);
-  CHECK(part.Open == Options.Least);
+  CHECK(part.Open == Options.MinOpen);
   CHECK(part.Kept == 0);
 }
 
 TEST_CASE("a rejected connection reduces the entry's share for a while") {
   ConnectionShare share;
-  const std::uint32_t whole = share.part(Now, Cap, 4, Options).Open;
+  const std::uint32_t full = share.part(Now, Cap, 4, Options).Open;
   share.noteTurnedAway(Now, Options);
   const std::uint32_t cut = share.part(Now, Cap, 4, Options).Open;
-  CHECK(cut == whole / 2);
+  CHECK(cut == full / 2);
   // Connections that are rejected together reduce the share only once.
   share.noteTurnedAway(Now + 1ms, Options);
   CHECK(share.part(Now + 1ms, Cap, 4, Options).Open == cut);
-  CHECK(share.part(Now + Options.Recovery / 2, Cap, 4, Options).Open > cut);
-  CHECK(share.part(Now + Options.Recovery, Cap, 4, Options).Open == whole);
+  CHECK(share.part(Now + Options.RecoveryTime / 2, Cap, 4, Options).Open > cut);
+  CHECK(share.part(Now + Options.RecoveryTime, Cap, 4, Options).Open == full);
 }
 
 TEST_CASE("an entry that is no longer counted keeps its share for a while") {
   EntryCount count(10);
-  count.note(Now, 4);
+  count.recordCount(Now, 4);
   CHECK(count.value() == 4);
-  count.note(Now + 1s, 1);
+  count.recordCount(Now + 1s, 1);
   CHECK(count.value() == 4);
-  count.note(Now + 3s, 4);
-  count.note(Now + 5s, 1);
+  count.recordCount(Now + 3s, 4);
+  count.recordCount(Now + 5s, 1);
   CHECK(count.value() == 4);
-  count.note(Now + 11s, 1);
+  count.recordCount(Now + 11s, 1);
   CHECK(count.value() == 1);
-  count.note(Now + 12s, 9);
+  count.recordCount(Now + 12s, 9);
   CHECK(count.value() == 9);
 }
 
@@ -198,13 +198,13 @@
 
 TEST_CASE("idle connections are closed when the limit is reached or reduced") {
   PoolUnderTest it;
-  it.exchange(4, /*most=*/4);
+  it.exchange(4, /*maxOpen=*/4);
   CHECK(it.Pool.connectionsOpened() == 4);
   CHECK(it.Server.channels() == 4);
-  it.exchange(4, /*most=*/4);
+  it.exchange(4, /*maxOpen=*/4);
   CHECK(it.Pool.connectionsOpened() == 4);
   // After the limit has been reduced, excess idle connections are closed.
-  it.exchange(2, /*most=*/2);
+  it.exchange(2, /*maxOpen=*/2);
   it.turnUntil([&] { return it.Server.channels() == 2; });
   CHECK(it.Pool.connectionsOpened() == 4);
 }
@@ -213,7 +213,7 @@
     "an entry whose share is below one connection closes it after the answer") {
   PoolUnderTest it;
   for (int i = 0; i < 3; ++i) {
-    it.exchange(1, /*most=*/0);
+    it.exchange(1, /*maxOpen=*/0);
     it.turnUntil([&] { return it.Server.channels() == 0; });
   }
   CHECK(it.Pool.connectionsOpened() == 3);
@@ -231,7 +231,7 @@
   SECTION("a connection that the server may have closed meanwhile isn't") {
     PoolUnderTest it({.DefaultKeep = 1min, .OnceIdle = -1us});
     it.exchange(1, 4, /*once=*/true);
-    it.exchange(1, /*most=*/1, /*once=*/true);
+    it.exchange(1, /*maxOpen=*/1, /*once=*/true);
     CHECK(it.Pool.connectionsOpened() == 2);
     it.turnUntil([&] { return it.Server.channels() == 1; });
   }
@@ -263,7 +263,7 @@
   ConnectProbe probe(it.Loop);
   HostPort nobody = PoolUnderTest::ownAddress();
   ++nobody.Port;
-  const auto look = [&](const HostPort &at) {
+  const auto probeAt = [&](const HostPort &at) {
     std::optional<ServerLife> life;
     probe.start(at.Ip + ":" + std::to_string(at.Port), [&](ServerLife found) {
       life = found;
@@ -273,6 +273,6 @@
     it.Loop.run();
     return life;
   };
-  CHECK(look(PoolUnderTest::ownAddress()) == ServerLife::Lives);
-  CHECK(look(nobody) == ServerLife::Ended);
+  CHECK(probeAt(PoolUnderTest::ownAddress()) == ServerLife::Lives);
+  CHECK(probeAt(nobody) == ServerLife::Ended);
 }
--- a/test/ServerFeedbackTest.cpp
+++ b/test/ServerFeedbackTest.cpp
@@ -58,7 +58,7 @@
   CHECK(!it.apply(Now + 2s, {.Unreadable = "limit"}, Now + 1500ms).empty());
   CHECK(it.isLimited());
   // A report of another process that is older is ignored.
-  CHECK(it.learnLimit(Now + 2s, {.Named = true, .Age = 1500ms}).empty());
+  CHECK(it.applyLimit(Now + 2s, {.Named = true, .Age = 1500ms}).empty());
   CHECK(it.limit(Now + 1s) == Named);
   CHECK(!it.apply(Now + 3s, {}, Now + 2s).empty());
   CHECK(!it.isLimited());
@@ -70,7 +70,7 @@
   it.apply(Now + 100ms, {.Rest = 500ms}, Now);
   CHECK(it.isResting(Now + 2999ms));
   CHECK(!it.isResting(Now + 3s));
-  CHECK(ServerFeedback::boundedRest(1e30) == ServerFeedback::MaxRest);
+  CHECK(ServerFeedback::boundedRest(1e30) == ServerFeedback::MaxBackoff);
   CHECK(ServerFeedback::boundedRest(0.25) == 250ms);
 }
 
