--- a/test/AllotmentTest.cpp
+++ b/test/AllotmentTest.cpp
@@ -15,7 +15,7 @@
   return static_cast<std::size_t>(draw.uniform() * static_cast<double>(n));
 }
 
-/// What a fleet is and how it is treated in one schedule.
+/// Size, limits and load of a simulated fleet in one schedule.
 struct FleetOptions {
   std::size_t Entries = 28;
   AllotmentRules Rules{.Window = 8s, .Overshoot = 0.1, .Slack = 110'000};
@@ -23,10 +23,10 @@
                   .PerSecond = 29'000,
                   .Burst = 29'000,
                   .PlainTokens = 200};
-  /// What the callers of the account send, as a share of its rate.
+  /// Load of the account's callers, as a multiple of its rate.
   double Load = 0.55;
   double UnitsOfRequest = 9200;
-  /// Requests may turn out not to have run, or run once more.
+  /// Share of the requests that turn out not to have run.
   double NotRunShare = 0;
   Duration Latency = 2ms;
   std::uint64_t Seed = 1;
@@ -35,20 +35,20 @@
 struct FleetResult {
   std::size_t Sent = 0;
   std::size_t Refused = 0;
-  /// Of these, such as one bucket of the account's rate and burst, into which
-  /// all callers looked at once, would have let in.
+  /// Refused requests that a single token bucket with the account's rate and
+  /// burst, shared by all callers without delay, would have admitted.
   std::size_t RefusedBelowLimit = 0;
   std::size_t Waited = 0;
   std::size_t Messages = 0;
-  /// Of reports and answers, encoded.
+  /// Encoded size of reports and answers.
   std::size_t Bytes = 0;
   double Units = 0;
-  /// The most units that ran within one window.
-  double MostInWindow = 0;
+  /// Maximum number of units that ran within one window.
+  double MaxInWindow = 0;
 };
 
-/// A ledger, the entries that hold its units, and one account's callers, in
-/// virtual time.
+/// Simulates a ledger, the entries that lease its units and the callers of one
+/// account, in virtual time.
 class Fleet {
 public:
   Fleet(const FleetOptions &options, const LeaseSizing &sizing)
@@ -57,19 +57,22 @@
                                     .Limit = options.Limit} {
     for (std::size_t i = 0; i < options.Entries; ++i)
       Entries.push_back(newEntry());
-    elect(Start - 1h, /*lastLongAgo=*/true);
+    elect(Start - 1h, /*noRecentLedger=*/true);
   }
 
-  /// Another replica leads; the units of the former ledger stay lent.
-  void elect(TimePoint now, bool lastLongAgo) {
+  /// Makes another replica the leader. Units that the former ledger granted
+  /// remain leased.
+  void elect(TimePoint now, bool noRecentLedger) {
     Ledger = std::make_unique<AllotmentLedger>(Options.Rules, Sizing);
-    Ledger->begin(now, ++Term, lastLongAgo);
+    Ledger->begin(now, ++Term, noRecentLedger);
     Ledger->setAccounts(now, AccountTable({Account}));
     LeaderUp = true;
   }
   void killLeader() { LeaderUp = false; }
   void cutOff(std::size_t i, bool cut) { Entries[i].Cut = cut; }
-  void freeze(std::size_t i, bool frozen) { Entries[i].Frozen = frozen; }
+  void suspend(std::size_t i, bool suspended) {
+    Entries[i].Suspended = suspended;
+  }
   void restart(std::size_t i) { Entries[i] = newEntry(); }
   void setLimit(TimePoint now, double perSecond) {
     Account.Limit.PerSecond = perSecond;
@@ -94,14 +97,14 @@
   struct Entry {
     std::uint64_t Incarnation = 0;
     std::unique_ptr<AllotmentLeases> Leases;
-    std::vector<Charged> UnderWay;
-    /// Whether the reference has let the request in.
+    std::vector<Charged> InFlight;
+    /// Whether the reference bucket admitted the request, by its key.
     std::map<std::uint64_t, bool> Waiting;
     std::size_t Callers = 0;
     bool Cut = false;
-    bool Frozen = false;
+    bool Suspended = false;
   };
-  struct Mail {
+  struct Delivery {
     TimePoint At;
     std::uint64_t To = 0;
     AllotmentGrants Grants;
@@ -127,7 +130,7 @@
   }
 
   void runEntry(TimePoint now, Entry &entry) {
-    if (entry.Frozen)
+    if (entry.Suspended)
       return;
     for (; entry.Callers > 0; --entry.Callers)
       takeRequest(now, entry);
@@ -166,27 +169,28 @@
   }
 
   void send(TimePoint now, Entry &entry, const AllotmentCharge &charge) {
-    entry.UnderWay.push_back({charge, now});
+    entry.InFlight.push_back({charge, now});
   }
 
-  /// Some hundred milliseconds later a server has begun, or said no.
+  /// After BeginAfter, a server has started the request or declined it.
   void settle(TimePoint now, Entry &entry) {
     constexpr Duration BeginAfter = 300ms;
-    std::erase_if(entry.UnderWay, [&](Charged &it) {
+    std::erase_if(entry.InFlight, [&](Charged &it) {
       if (now < it.SentAt + BeginAfter)
         return false;
       if (Draw.uniform() < Options.NotRunShare) {
         entry.Leases->release(now, 0, it.Charge);
         return true;
       }
-      // It counts from when it was let in: its caller sent it before.
-      noteRun(it.SentAt, it.Charge.Units);
+      // The request counts from the time of its admission, since its caller had
+      // sent it by then.
+      recordRun(it.SentAt, it.Charge.Units);
       entry.Leases->spend(it.Charge);
       return true;
     });
   }
 
-  void noteRun(TimePoint at, double units) {
+  void recordRun(TimePoint at, double units) {
     ++Result.Sent;
     Result.Units += units;
     Runs.push_back({at, units});
@@ -203,17 +207,18 @@
       Result.Bytes += encodeFrame({.Content = Incoming.back().Grants}).size();
     }
     while (!Incoming.empty() && Incoming.front().At <= now) {
-      const Mail mail = Incoming.front();
+      const Delivery delivery = Incoming.front();
       Incoming.pop_front();
       for (Entry &it : Entries)
-        if (it.Incarnation == mail.To && !it.Cut)
-          onGrants(now, it, mail.Grants);
+        if (it.Incarnation == delivery.To && !it.Cut)
+          onGrants(now, it, delivery.Grants);
     }
   }
 
   void onGrants(TimePoint now, Entry &entry, const AllotmentGrants &grants) {
-    // A frozen process reads it when it wakes; it is as good as lost.
-    if (entry.Frozen)
+    // A suspended process reads the grants only after it resumes, when they are
+    // no longer of use.
+    if (entry.Suspended)
       return;
     for (const AllotmentDecision &it : entry.Leases->onGrants(now, grants)) {
       const auto waiting = entry.Waiting.extract(it.Key);
@@ -228,8 +233,8 @@
   }
 
 public:
-  /// Reckons the fullest window of all that ran.
-  double mostInWindow(Duration window) {
+  /// \returns the maximum number of units that ran in any window.
+  double maxInWindow(Duration window) {
     std::ranges::sort(Runs);
     double sum = 0;
     double most = 0;
@@ -260,14 +265,14 @@
   std::uint64_t LastIncarnation = 0;
   std::uint64_t LastKey = 0;
   std::deque<std::pair<TimePoint, AllotmentReport>> Outgoing;
-  std::deque<Mail> Incoming;
+  std::deque<Delivery> Incoming;
   std::vector<std::pair<TimePoint, double>> Runs;
   FleetResult Result;
 };
 
 constexpr Duration Step = 5ms;
 
-/// \returns the most that the rules allow in one window.
+/// \returns the maximum number of units that the rules allow in one window.
 double bound(const FleetOptions &options) {
   const double window = toSeconds(options.Rules.Window);
   return (options.Limit.PerSecond * window + options.Limit.Burst) *
@@ -275,14 +280,15 @@
          options.Rules.Slack;
 }
 
-void playCalm(Fleet &fleet, Duration d) {
+void runWithoutFaults(Fleet &fleet, Duration d) {
   for (TimePoint now = Start; now < Start + d; now += Step)
     fleet.step(now, Step);
 }
 
-/// Kills, cuts, freezes and restarts at random; one change of leader in a
-/// window at most, unless the new one can't tell how long the former one led.
-void playTroubled(Fleet &fleet, Duration d) {
+/// Kills leaders and cuts off, suspends and restarts entries at random. The
+/// leader changes at most once a window, unless the new leader can't tell how
+/// long ago the former one started.
+void runWithFaults(Fleet &fleet, Duration d) {
   Random &draw = fleet.draw();
   TimePoint lastElection = Start - 1h;
   for (TimePoint now = Start; now < Start + d; now += Step) {
@@ -291,7 +297,7 @@
     if (draw.uniform() < PerStep)
       fleet.cutOff(i, draw.uniform() < 0.5);
     if (draw.uniform() < PerStep)
-      fleet.freeze(i, draw.uniform() < 0.5);
+      fleet.suspend(i, draw.uniform() < 0.5);
     if (draw.uniform() < PerStep)
       fleet.restart(i);
     if (draw.uniform() < PerStep / 4)
@@ -309,7 +315,7 @@
 
 } // namespace
 
-TEST_CASE("no window is ever over the allotment, whatever fails") {
+TEST_CASE("no window exceeds the allotment under any failure") {
   const LeasesByUse byUse;
   const ExactLeases exact;
   const auto seed = static_cast<std::uint64_t>(GENERATE(range(1, 101)));
@@ -320,12 +326,13 @@
   const LeaseSizing &sizing =
       seed % 4 == 0 ? static_cast<const LeaseSizing &>(exact) : byUse;
   Fleet fleet(options, sizing);
-  playTroubled(fleet, 20s);
+  runWithFaults(fleet, 20s);
   CAPTURE(seed);
-  CHECK(fleet.mostInWindow(options.Rules.Window) <= bound(options));
+  CHECK(fleet.maxInWindow(options.Rules.Window) <= bound(options));
 }
 
-TEST_CASE("10,000 random schedules keep the window", "[.][long]") {
+TEST_CASE("no window exceeds the allotment in 10,000 random schedules",
+          "[.][long]") {
   const LeasesByUse byUse;
   for (std::uint64_t seed = 1000; seed < 11'000; ++seed) {
     FleetOptions options{.Entries = 3 + seed % 12, .Load = 6, .Seed = seed};
@@ -333,13 +340,13 @@
     options.UnitsOfRequest = seed % 3 == 0 ? 300 : 9200;
     options.Rules.Slack = seed % 2 == 0 ? 110'000 : 0;
     Fleet fleet(options, byUse);
-    playTroubled(fleet, 15s);
+    runWithFaults(fleet, 15s);
     CAPTURE(seed);
-    REQUIRE(fleet.mostInWindow(options.Rules.Window) <= bound(options));
+    REQUIRE(fleet.maxInWindow(options.Rules.Window) <= bound(options));
   }
 }
 
-TEST_CASE("an account below its limit is never refused on a calm day") {
+TEST_CASE("an account below its limit is never refused while nothing fails") {
   const LeasesByUse byUse;
   const ExactLeases exact;
   const auto seed = static_cast<std::uint64_t>(GENERATE(range(1, 9)));
@@ -350,43 +357,43 @@
   options.Limit.Burst = rate;
   Fleet fleet(options,
               inAdvance ? static_cast<const LeaseSizing &>(byUse) : exact);
-  playCalm(fleet, 60s);
+  runWithoutFaults(fleet, 60s);
   CAPTURE(seed, rate, inAdvance);
   CHECK(fleet.result().RefusedBelowLimit == 0);
   CHECK(fleet.result().Sent > 0);
 }
 
-TEST_CASE("an account at 8 times its usual gets its allotment") {
+TEST_CASE("an account at 8 times its usual load gets its full allotment") {
   const LeasesByUse byUse;
   FleetOptions options{.Load = 4.4};
   Fleet fleet(options, byUse);
-  playCalm(fleet, 60s);
+  runWithoutFaults(fleet, 60s);
   CHECK(fleet.result().Units >=
         0.97 * options.Limit.PerSecond * toSeconds(60s));
-  CHECK(fleet.mostInWindow(8s) <= bound(options));
+  CHECK(fleet.maxInWindow(8s) <= bound(options));
 }
 
-TEST_CASE("a limit that falls binds one window after it is known") {
+TEST_CASE("a reduced limit takes full effect one window after it is known") {
   const LeasesByUse byUse;
   FleetOptions options{.Load = 4};
   Fleet fleet(options, byUse);
-  playCalm(fleet, 20s);
-  const TimePoint fell = Start + 20s;
-  fleet.setLimit(fell, 5'000);
-  FleetOptions lower = options;
-  lower.Limit.PerSecond = 5'000;
-  lower.Limit.Burst = 5'000;
+  runWithoutFaults(fleet, 20s);
+  const TimePoint reducedAt = Start + 20s;
+  fleet.setLimit(reducedAt, 5'000);
+  FleetOptions reduced = options;
+  reduced.Limit.PerSecond = 5'000;
+  reduced.Limit.Burst = 5'000;
   const double before = fleet.result().Units;
-  for (TimePoint now = fell; now < fell + 8s; now += Step)
+  for (TimePoint now = reducedAt; now < reducedAt + 8s; now += Step)
     fleet.step(now, Step);
   (void)before;
   const double atEnd = fleet.result().Units;
-  for (TimePoint now = fell + 8s; now < fell + 16s; now += Step)
+  for (TimePoint now = reducedAt + 8s; now < reducedAt + 16s; now += Step)
     fleet.step(now, Step);
-  CHECK(fleet.result().Units - atEnd <= bound(lower));
+  CHECK(fleet.result().Units - atEnd <= bound(reduced));
 }
 
-TEST_CASE("a request that is larger than the burst waits for a full bucket") {
+TEST_CASE("a request larger than the burst waits for a full bucket") {
   const LeasesByUse byUse;
   AllotmentLedger ledger({.Window = 8s}, byUse);
   ClientAccount account{.Name = AccountName("shop"),
@@ -406,7 +413,7 @@
   CHECK(askAt(1200ms).Met == 0);
 }
 
-TEST_CASE("a process that slept has no units any more") {
+TEST_CASE("a process that was suspended for a lease holds no units") {
   ClientAccount account{.Name = AccountName("shop"),
                         .Limit = {.PerSecond = 100, .Burst = 100}};
   AllotmentLeases leases({.Incarnation = 1});
@@ -419,14 +426,14 @@
       .Lease = 4s,
       .Grants = {
           {.Account = account.Name, .Decided = true, .Met = 1, .Units = 10}}};
-  SECTION("the answer came in time") {
+  SECTION("the answer arrives before the lease ends") {
     REQUIRE(leases.onGrants(Start + 3ms, grants).size() == 1);
     CHECK(leases.take(Start + 1s, 2, account, 1).Now ==
           AllotmentCharge::State::Reserved);
     CHECK(leases.take(Start + 4s, 3, account, 1).Now ==
           AllotmentCharge::State::Asked);
   }
-  SECTION("the answer was read after a sleep") {
+  SECTION("the answer is read only after the lease has ended") {
     CHECK(leases.onGrants(Start + 5s, grants).empty());
     const auto again = leases.takeReport(Start + 5s + 200ms);
     REQUIRE(again);
@@ -434,7 +441,9 @@
   }
 }
 
-TEST_CASE("an account without a limit, or not known any more, is let through") {
+TEST_CASE(
+    "the ledger grants all units to an account that is unlimited or no longer "
+    "known") {
   const LeasesByUse byUse;
   AllotmentLedger ledger({}, byUse);
   ledger.begin(Start, 1, true);
@@ -451,8 +460,9 @@
   CHECK(ledger.status(Start, 0).empty());
 }
 
-// Figures of docs/design/shifted.md; run by hand.
-TEST_CASE("two ways to lend, at two sizes", "[.][figures]") {
+// Measures the figures in docs/design/shifted.md; run by hand.
+TEST_CASE("lease sizing strategies compared at two fleet sizes",
+          "[.][figures]") {
   const LeasesByUse byUse;
   const ExactLeases exact;
   const std::size_t entries = GENERATE(28, 410);
@@ -464,21 +474,23 @@
     options.Limit.PerSecond = rate;
     options.Limit.Burst = rate;
     Fleet fleet(options, *it);
-    playCalm(fleet, 30s);
+    runWithoutFaults(fleet, 30s);
     const FleetResult result = fleet.result();
     const auto requests = static_cast<double>(result.Sent + result.Refused);
-    WARN(entries << " entries, " << rate << " units a second, load " << load
+    WARN(entries << " entries, " << rate << " units/s, load " << load
                  << (it == &exact ? ", exact: " : ", by use: ") << requests / 30
                  << " requests/s, "
                  << static_cast<double>(result.Waited) / requests
-                 << " of them waited, "
-                 << static_cast<double>(result.Bytes) / 30'000 << " KB/s, used "
-                 << result.Units / 30 / rate << " of the rate, refused below "
+                 << " of them waited for the ledger, "
+                 << static_cast<double>(result.Bytes) / 30'000
+                 << " KB/s of reports and grants, used "
+                 << result.Units / 30 / rate
+                 << " of the rate, refused below the limit: "
                  << result.RefusedBelowLimit);
   }
 }
 
-TEST_CASE("a key's look-up at 16 and 100,000 accounts", "[.][figures]") {
+TEST_CASE("time of a key lookup at 16 and 100,000 accounts", "[.][figures]") {
   const int accounts = GENERATE(16, 100'000);
   std::vector<ClientAccount> list;
   list.reserve(static_cast<std::size_t>(accounts));
@@ -496,5 +508,5 @@
       std::chrono::steady_clock::now() - begin;
   CHECK(found == Rounds);
   WARN(accounts << " accounts: " << took.count() / Rounds
-                << " ns with the digest");
+                << " ns per lookup, including the digest");
 }
