--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -5,11 +5,11 @@
 namespace pimentofront {
 namespace {
 
-/// Worth of the next victim when there is none.
+/// Reported eviction cost when there is no slot to evict.
 constexpr double MostVictimValue = 1e6;
 
-/// Returns in refusals are spread over this factor, so that the refused don't
-/// come back together.
+/// Adds jitter to a retry-after, so that refused callers do not return at the
+/// same time.
 Duration spread(Random &random, Duration d) {
   constexpr Duration Shortest = std::chrono::milliseconds(50);
   return random.jitter(std::max(d, Shortest));
@@ -59,7 +59,7 @@
 }
 
 LoadFigures AdmissionController::figures(TimePoint now) const {
-  // Without a slot to give up, a load would have to wait for one.
+  // Without a slot to evict, a load would have to wait for one.
   double victim = Board.Slots.hasEmpty() ? 0 : MostVictimValue;
   for (const Slot &it : Board.Slots.all())
     if (mayEvict(it, Board.Waiting))
@@ -90,7 +90,7 @@
   const Duration wait = queueWait(now);
   if (request.OnlyIfResident && wait > Board.Options.SpillDelay)
     return {RefusalReason::QueueFull, wait};
-  // An entry that sends the request itself judges how long the answer takes.
+  // The entry of a delegated request decides how long its answer may take.
   const Duration service =
       request.Delegated ? Duration::zero() : Board.ServiceTime;
   if (Board.Options.RefusesEarly && wait + service > request.Remaining)
@@ -109,8 +109,9 @@
     return {};
   if (request.OnlyIfResident)
     return {RefusalReason::NotResident, firstEvent};
-  // Only the scheduler knows where this one would stand: it answers a demand
-  // within a round trip, and then what is hopeless is refused.
+  // Only the scheduler knows the queue position of this load. It answers a
+  // demand within a round trip, and requests that it would delay too long are
+  // then refused.
   return {};
 }
 
@@ -126,7 +127,7 @@
     return;
   const TimePoint ready = now + wait;
   std::erase_if(it->second, [&](const WaitingAttempt &attempt) {
-    // An entry that sends the request itself judges how long the answer takes.
+    // The entry of a delegated request decides how long its answer may take.
     if (attempt.Request.Delegated)
       return false;
     if (ready <= stallLimit(attempt, Board.Options.StallShare) &&
@@ -157,8 +158,8 @@
       ++ahead;
   if (ahead < free)
     return Duration::zero();
-  // The slots in use come free one after the other, each within the time that
-  // a request takes.
+  // The slots in use are released one after another, at even intervals within
+  // the time that a request takes.
   return Board.ServiceTime * (ahead - free + 1) /
          std::max<std::int64_t>(pinned, 1);
 }
@@ -169,7 +170,7 @@
   const AdapterKey &key = request.Key;
   const bool ready = Board.Slots.isReady(key);
   const bool loading = Board.Slots.isLoading(key);
-  // The requests that end give both their places and their slots.
+  // Requests that end release both their place in the batch and their slot.
   const Duration ends = ready || loading
                             ? queueWait(now)
                             : std::max(queueWait(now), slotWait(key));
@@ -183,7 +184,7 @@
   for (const auto &[attempt, it] : Board.Running) {
     if (!it.Delegated || it.BegunAt)
       continue;
-    // An entry that stands still tells of no beginning.
+    // A stalled entry does not report that its requests have begun.
     const auto heard = Board.HeardOf.find(it.Entry);
     if (heard != Board.HeardOf.end())
       most = std::max(most, std::min(now, heard->second) - it.ExpectedAt);
@@ -217,7 +218,7 @@
 
 void AdmissionController::refuse(EntryLink entry, const AttemptId &attempt,
                                  Verdict verdict, const LoadFigures &figures) {
-  // An entry compares the waits of several hosts, so they aren't spread.
+  // An entry compares these waits between hosts, so they get no jitter.
   const Duration comeBack = onlyAskedAround(verdict.Reason)
                                 ? verdict.ComeBack
                                 : spread(Board.Jitter, verdict.ComeBack);
@@ -234,7 +235,8 @@
                                     const ExecuteRequest &request) {
   const Verdict verdict = judge(now, request);
   const bool toEngine = request.Service.empty();
-  // A request that is only asking around isn't demand for this host yet.
+  // A probe that is refused with `Busy` or `NotResident` is not yet demand for
+  // this host.
   if (toEngine && !onlyAskedAround(verdict.Reason))
     Board.Popularity.noteRequest(now, request.Key);
   if (verdict.Reason != RefusalReason::None)
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.h
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.h
@@ -7,62 +7,65 @@
 
 /// \class AdmissionController
 /// \ingroup Serving
-/// \brief Takes a request in, or refuses it at once with a truthful time to
-/// come back. What it takes in waits on the board.
+/// \brief Admits a request, or refuses it at once with a retry-after that is an
+/// estimate of the wait. Admitted requests are queued on the board.
 class AdmissionController {
 public:
   explicit AdmissionController(AgentBoard &board) : Board(board) {}
 
   void onExecute(TimePoint now, EntryLink entry, const ExecuteRequest &request);
-  /// Refuses waiting requests whose answer can't come in time any more.
+  /// Refuses waiting requests whose answer can no longer come in time.
   void refuseHopeless(TimePoint now);
-  /// The load that \p key waits for takes \p wait: refuses those for whom that
-  /// is too long, but for those whose entry judges it.
+  /// The load of \p key will end after \p wait. Refuses the requests for which
+  /// that is too late, except delegated ones: their entry decides how long they
+  /// may take.
   void onLoadWait(TimePoint now, const AdapterKey &key, Duration wait);
-  /// Refuses all that wait for \p key.
+  /// Refuses all requests that wait for \p key.
   void refuseWaiting(const AdapterKey &key, RefusalReason reason,
                      Duration comeBack);
-  /// Refuses all that wait for anything.
+  /// Refuses all waiting requests.
   void refuseAllWaiting(RefusalReason reason, Duration comeBack);
-  /// Drops a waiting attempt that nobody wants any more.
+  /// Removes a waiting attempt that was cancelled or whose entry is gone.
   /// \returns whether it was waiting.
   bool forget(const AttemptId &attempt);
 
-  /// \returns what answers carry about this host's load.
+  /// \returns the load figures that are sent with answers.
   LoadFigures figures(TimePoint now) const;
 
 private:
   struct Verdict {
     RefusalReason Reason = RefusalReason::None;
     Duration ComeBack = Duration::zero();
-    /// The adapter is here, or on its way.
+    /// The adapter is resident or being loaded.
     bool Holds = false;
   };
   Verdict judge(TimePoint now, const ExecuteRequest &request) const;
   Verdict judgeService(const ExecuteRequest &request) const;
   Verdict judgeResident(TimePoint now, const ExecuteRequest &request) const;
-  /// \param firstEvent how long the first event would take.
+  /// \param firstEvent expected time until the first event.
   Verdict judgeMissing(TimePoint now, const ExecuteRequest &request,
                        Duration firstEvent) const;
   Duration queueWait(TimePoint now) const;
-  /// \returns whether the engine's limit keeps a request waiting for too long
-  /// that has \p ahead others before it, and \p remaining time.
+  /// \returns whether a request with \p ahead others before it and \p remaining
+  /// time would wait too long for the engine's rate limit.
   bool exceedsRateLimit(TimePoint now, std::size_t ahead,
                         Duration remaining) const;
-  /// Refuses what the engine's limit doesn't let through in time.
+  /// Refuses the waiting requests that the engine's rate limit doesn't admit in
+  /// time.
   void refuseBeyondRateLimit(TimePoint now);
-  /// \returns how long a request would wait until a slot can be given up for
-  /// its adapter.
+  /// \returns the wait until a slot can be evicted for the adapter.
   Duration slotWait(const AdapterKey &key) const;
-  /// \returns how long the first event would take: the wait for a slot, for
-  /// the adapter, for the prompts before its own, and its own.
+  /// \returns the expected time until the first event: the wait for a slot, for
+  /// the adapter and for the prompts before its own, and the prefill of its own
+  /// prompt.
   Duration expectedFirstEvent(TimePoint now,
                               const ExecuteRequest &request) const;
-  /// \returns by how much the engine is behind: the latest of the requests that
-  /// it hasn't begun, by the word of entries that live, was expected so long
-  /// ago. Shows at once that an engine has turned slow, or hangs.
+  /// \returns the delay of the engine: the most by which a delegated request
+  /// that hasn't begun is overdue. A request counts only up to the last message
+  /// of its entry, since a stalled entry reports no beginning. Shows at once
+  /// that an engine has turned slow, or hangs.
   Duration lag(TimePoint now) const;
-  /// \returns how long a new load would wait, as far as is known.
+  /// \returns the estimated wait of a new load.
   Duration loadBacklog(TimePoint now) const;
   void refuse(EntryLink entry, const AttemptId &attempt, Verdict verdict,
               const LoadFigures &figures);
--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -12,12 +12,13 @@
 
 namespace pimentofront {
 
-/// Names the link to an entry, as the shell numbers them.
+/// Identifies the link to an entry. The I/O layer that drives the controller
+/// assigns the numbers.
 using EntryLink = std::uint64_t;
 
 /// \class AgentOptions
 /// \ingroup Serving
-/// \brief The knobs of an agent. docs/OPERATORS.md says what each does.
+/// \brief Options of an agent; docs/OPERATORS.md describes each of them.
 struct AgentOptions {
   HostName Host;
   std::uint64_t Incarnation = 0;
@@ -25,44 +26,48 @@
   std::vector<ServiceName> Services;
   /// Adapter slots of the engine.
   std::uint32_t Slots = 4;
-  /// Requests that the engine runs in one step.
+  /// Maximum number of requests that the engine processes in one step.
   std::uint32_t BatchCapacity = 16;
-  /// Requests that may wait here, over all adapters.
+  /// Maximum number of waiting requests, over all adapters.
   std::uint32_t QueueLimit = 256;
-  /// Calls of plain services in progress at one time.
+  /// Maximum number of concurrent calls of plain services.
   std::uint32_t ServiceLimit = 64;
   PopularityOptions Popularity;
-  /// What a load from the weight store takes, until one has been measured.
+  /// Estimated time of a load from the weight store, until one has been
+  /// measured.
   Duration LoadTime = std::chrono::milliseconds(250);
-  /// What serving a request takes, until some have been measured.
+  /// Estimated time to serve a request, until some have been measured.
   Duration ServiceTime = std::chrono::seconds(2);
-  /// An attempt that asks only for what is resident is sent on when it would
-  /// queue longer than this: time for another copy.
+  /// An attempt that requires its adapter to be resident is refused when it
+  /// would queue longer than this, so that another host loads a copy.
   Duration SpillDelay = std::chrono::milliseconds(500);
-  /// Refuses a request at once when its load can't come in time.
+  /// Refuse a request as soon as it is known that its queue or its load can't
+  /// end in time.
   bool RefusesEarly = true;
-  /// Part of its time that a request may spend waiting for its adapter; when it
-  /// would be more, it is refused. A shorter queue of loads ends as many waits
-  /// each second as a long one.
+  /// Share of its time limit that a request may wait for its adapter. A request
+  /// that would wait longer is refused: a short load queue ends as many waits
+  /// per second as a long one.
   double StallShare = 0.4;
-  /// What a late answer is worth beside one on time, when loads are chosen.
+  /// Utility of a late answer relative to an answer on time, for the choice of
+  /// loads.
   double LateWorth = 0.4;
-  /// Part of its time that a request may wait for company when the engine is
-  /// idle: steps that are shared cost little more than steps for one.
+  /// Share of its time limit that a request may wait on an idle engine for
+  /// other requests to batch with: a shared step costs little more than a step
+  /// for one request.
   double CompanyShare = 0.05;
-  /// The longest that it may wait so, whatever its share: a first token has to
-  /// come within about a second.
+  /// Upper bound of that wait, whatever the share: a first token has to come
+  /// within about a second.
   Duration CompanyLimit = std::chrono::milliseconds(400);
-  /// Requests that are company enough.
+  /// Number of waiting requests that end the wait.
   std::uint32_t CompanyWanted = 4;
-  /// An engine that was found running must be idle for so long, so that
-  /// requests and loads of an earlier agent process have ended.
+  /// An engine that was found running must be idle for this long before it is
+  /// used, so that requests and loads of an earlier agent process have ended.
   Duration EngineSettleTime = std::chrono::seconds(2);
-  /// A delegated request whose entry hasn't said that it ended is taken for
-  /// ended so long after its deadline: the word may have been lost with the
-  /// link, and its slot would stay in use.
+  /// Time after its deadline at which a delegated request counts as ended
+  /// although its entry hasn't reported so. The report may have been lost with
+  /// the link, and the slot would stay in use.
   Duration ReleaseSlack = std::chrono::seconds(1);
-  /// First and longest pause after failed loads of one adapter.
+  /// Initial and maximum backoff after failed loads of one adapter.
   Duration FailedLoadPause = std::chrono::seconds(2);
   Duration FailedLoadPauseMax = std::chrono::minutes(2);
 };
@@ -74,16 +79,18 @@
   ExecuteRequest Request;
   EntryLink Entry = 0;
   TimePoint ArrivedAt;
-  /// After this the answer is useless.
+  /// Time after which the answer is useless.
   TimePoint Deadline;
-  /// After this the first event is late; none without a target.
+  /// Time after which the first event is late; empty if the request has no
+  /// latency target.
   std::optional<TimePoint> OnTimeUntil;
-  /// Time that it waited for its adapter, when that is over.
+  /// Time that it waited for its adapter; set when the adapter is loaded.
   Duration LoadStall = Duration::zero();
   bool NeededLoad = false;
 };
 
-/// \returns when \p attempt will have waited for its adapter as long as it may.
+/// \returns the time until which \p attempt may wait for its adapter, which is
+/// \p stallShare of its time limit.
 inline TimePoint stallLimit(const WaitingAttempt &attempt, double stallShare) {
   const Duration time = attempt.Deadline - attempt.ArrivedAt;
   return attempt.ArrivedAt + fromSeconds(toSeconds(time) * stallShare);
@@ -91,58 +98,60 @@
 
 /// \class RunningAttempt
 /// \ingroup Serving
-/// \brief An attempt that the engine or a plain service works on.
+/// \brief An attempt that the engine or a plain service is processing.
 struct RunningAttempt {
   EntryLink Entry = 0;
   AdapterKey Key;
   bool IsService = false;
-  /// Its entry sent it to the engine, and says when it has ended.
+  /// The entry sends the request to the engine itself and reports when it has
+  /// ended.
   bool Delegated = false;
   TimePoint StartedAt;
   TimePoint Deadline;
-  /// When its first event was expected, and when it came, as far as its entry
-  /// has said.
+  /// When the first event was expected, and when its entry's report that it
+  /// came was received.
   TimePoint ExpectedAt;
   std::optional<TimePoint> BegunAt;
   std::uint64_t Tokens = 0;
   Duration LoadStall = Duration::zero();
-  /// Tokens of its prompt that the engine had to read.
+  /// Prompt tokens that the engine had to process because they were not cached.
   std::uint32_t PromptTokens = 0;
-  /// The engine had no other prompt to read when it began.
+  /// The engine had no other prompt to process when this attempt started.
   bool ReadAlone = false;
 };
 
 /// \class FailedLoads
 /// \ingroup Serving
-/// \brief An adapter that failed to load is set aside for a while, so that it
-/// doesn't take its neighbours' loads.
+/// \brief Backoff of an adapter that failed to load, so that its retries don't
+/// take the loads of other adapters.
 struct FailedLoads {
   std::uint32_t InSequence = 0;
   TimePoint Until;
 };
 
-/// Tells an entry something.
+/// Sends a message to an entry.
 struct SendToEntry {
   EntryLink Entry = 0;
   Message Content;
 };
-/// Tells the load scheduler something.
+/// Sends a message to the load scheduler.
 struct SendToScheduler {
   Message Content;
 };
-/// Has the engine run a request.
+/// Starts a request on the engine.
 struct StartGeneration {
   ExecuteRequest Request;
 };
-/// Has a plain service called, once.
+/// Calls a plain service, once.
 struct StartServiceCall {
   ExecuteRequest Request;
 };
-/// Stops what the engine or service does for an attempt.
+/// Cancels the work of the engine or service on an attempt.
 struct CancelWork {
   AttemptId Attempt;
 };
-/// Has the engine give up one adapter, if set, and load another.
+/// Loads an adapter into the engine, after unloading the victim if there is
+/// one.
 struct StartLoad {
   AdapterKey Key;
   std::string Source;
@@ -153,7 +162,7 @@
 
 /// \class AgentBoard
 /// \ingroup Serving
-/// \brief What the controllers of an agent know in common.
+/// \brief The state that the controllers of an agent share.
 struct AgentBoard {
   AgentBoard(const AgentOptions &options, const EvictionPolicy &eviction)
       : Options(options), Eviction(eviction), Slots(options.Slots),
@@ -164,45 +173,49 @@
   const AgentOptions Options;
   const EvictionPolicy &Eviction;
   SlotTable Slots;
-  /// Requests that the engine runs in one step, as far as is known now.
+  /// Maximum number of requests that the engine processes in one step: the
+  /// option, until the configuration has named another.
   std::uint32_t BatchCapacity;
   PopularityTable Popularity;
   PrefillModel Prefill;
   Random Jitter;
 
-  /// Admitted and not running, by adapter, in order of arrival.
+  /// Admitted attempts that are not running, by adapter, in order of arrival.
   std::map<AdapterKey, std::deque<WaitingAttempt>> Waiting;
   std::size_t WaitingCount = 0;
   std::unordered_map<AttemptId, RunningAttempt> Running;
-  /// When each entry said something last.
+  /// When each entry sent its last message.
   std::unordered_map<EntryLink, TimePoint> HeardOf;
   std::uint32_t RunningServices = 0;
   std::unordered_map<AdapterKey, FailedLoads> SetAside;
 
   LoadTimeModel LoadTimes;
-  /// What a request took here, smoothed.
+  /// Smoothed time that this engine takes for a request.
   Duration ServiceTime;
-  /// Last word of the load scheduler on its queue, and when it came.
+  /// Wait in the load queue as the scheduler last reported it, and when the
+  /// report was received.
   Duration LoadBacklog = Duration::zero();
   TimePoint LoadBacklogAt;
-  /// Of the engine's process, while it names a limit or is cold.
+  /// Paces the requests to the engine's process while it names a rate limit or
+  /// is cold.
   RequestPacer Pacer;
-  /// How engines of its service are cold from their start on.
+  /// Cold-start limits that apply to the engines of this service from their
+  /// start.
   ColdStart Cold;
-  /// When the engine was found that started beside this agent.
+  /// When an engine process was found ready that started while this agent ran.
   std::optional<TimePoint> EngineStartedAt;
 
-  /// Takes no new work.
+  /// The agent is shutting down and admits no new work.
   bool Leaving = false;
-  /// The engine answers and what it holds is known.
+  /// The engine answers and its resident adapters are known.
   bool EngineReady = false;
-  /// Since when the engine has been idle, before this agent uses it.
+  /// Since when the engine has been idle, while the agent waits to use it.
   std::optional<TimePoint> EngineIdleSince;
   /// This agent has used the engine's process before, or saw it start: no order
-  /// of an earlier agent can be under way.
+  /// of an earlier agent can be in flight.
   bool EngineIsOurs = false;
-  /// Orders to load that the engine hasn't answered, also such as were sent to
-  /// an engine that has started anew since.
+  /// Load orders that the engine hasn't answered, including those sent to an
+  /// engine process that has been replaced since.
   std::uint32_t LoadsUnderWay = 0;
 
   std::vector<AgentCommand> Commands;
--- a/packages/serving/pimentofront/src/Serving/EntryBoard.h
+++ b/packages/serving/pimentofront/src/Serving/EntryBoard.h
@@ -7,58 +7,58 @@
 
 namespace pimentofront {
 
-/// Names a caller's request inside one entry process.
+/// Identifies a caller's request within one entry process.
 using RequestKey = std::uint64_t;
 
 /// \class CallerRequest
 /// \ingroup Serving
-/// \brief A request as a caller made it.
+/// \brief A request as received from a caller.
 struct CallerRequest {
   RequestKey Key = 0;
   RequestId Id;
   CallerName Caller;
   KindName Kind;
   AdapterName Adapter;
-  /// 0 asks for the highest live version.
+  /// 0 selects the highest live version.
   VersionNumber Version = 0;
   std::string Prompt;
   std::uint32_t MaxTokens = 0;
-  /// Set for a plain service; then there is no adapter.
+  /// Set for a call of a plain service, which uses no adapter.
   ServiceName Service;
   std::string Method;
   std::string Payload;
   bool Idempotent = true;
-  /// When the caller first sent it, milliseconds since 1970; only for requests
-  /// that may not be repeated.
+  /// When the caller first sent the request, in milliseconds since 1970; only
+  /// for non-idempotent requests.
   std::uint64_t IssuedAtMilliseconds = 0;
-  /// Time the caller gives; 0 takes the window of the kind.
+  /// Time limit that the caller sets; 0 selects the window of the kind.
   Duration Timeout = Duration::zero();
-  /// Text of an earlier answer from which to go on.
+  /// Text of an earlier answer that the new answer continues.
   std::string Resumed;
 };
 
-/// How a caller's request ended.
+/// Outcome of a caller's request.
 enum class FinalKind : std::uint8_t {
   Answered,
-  /// Certainly did not run.
+  /// The request has certainly not run.
   Refused,
-  /// May have run; for requests that may not be repeated.
+  /// A non-idempotent request may have run.
   Unknown,
   /// No answer in time; the request may be repeated.
   TimedOut,
-  /// Broke off and couldn't be retried; the request may be repeated.
+  /// The answer broke off and couldn't be retried; the request may be repeated.
   Failed,
 };
 
 /// \class FinalAnswer
 /// \ingroup Serving
-/// \brief The one final answer of a request.
+/// \brief The single final answer to a request.
 struct FinalAnswer {
   FinalKind Kind = FinalKind::Failed;
   RefusalReason Reason = RefusalReason::None;
-  /// For all but `Answered`: when it is worth while to come back.
+  /// Retry-after, for all outcomes but `Answered`.
   Duration ComeBack = Duration::zero();
-  /// Answer of a plain service, or what went wrong.
+  /// Answer of a plain service, or the error text.
   std::string Payload;
   AdapterKey Key;
   HostName Host;
@@ -67,26 +67,26 @@
   std::uint32_t Attempts = 0;
 };
 
-/// Sends an agent something.
+/// Sends a message to an agent.
 struct SendToAgent {
   HostName Host;
   std::string Address;
   Message Content;
 };
-/// Hands the caller a piece of the answer.
+/// Delivers a part of the answer to the caller.
 struct DeliverChunk {
   RequestKey Key = 0;
   std::uint64_t Position = 0;
   std::string Text;
 };
-/// Hands the caller the end; the request is forgotten.
+/// Delivers the final answer to the caller and ends the request.
 struct DeliverFinal {
   RequestKey Key = 0;
   KindName Kind;
   FinalAnswer Answer;
 };
-/// Has the replicated state decide on a command; the shell sends it again
-/// until it is decided or `GiveUpAt` has come.
+/// Proposes a command to the replicated state. The I/O layer sends it again
+/// until it is decided or until `GiveUpAt`.
 struct ProposeCommand {
   std::uint64_t Nonce = 0;
   Command Proposal;
@@ -97,7 +97,7 @@
 
 /// \class ConfigurationView
 /// \ingroup Serving
-/// \brief The configuration in force, as far as routing needs it.
+/// \brief The part of the configuration in force that routing needs.
 class ConfigurationView {
 public:
   virtual ~ConfigurationView() = default;
@@ -105,31 +105,34 @@
   findAdapter(const AdapterName &name) const = 0;
   virtual const KindRecord *findKind(const KindName &name) const = 0;
   virtual bool isDrained(const HostName &host) const = 0;
-  /// \returns whether an operator has had the zone evacuated.
+  /// \returns whether an operator has evacuated the zone.
   virtual bool isEvacuated(const ZoneName &zone) const = 0;
-  /// \returns whether it is certain that nothing newer has been in force for
-  /// longer than the confirmation lease.
+  /// \returns whether no newer configuration can have been in force for longer
+  /// than the confirmation lease.
   virtual bool isConfirmed(TimePoint now) const = 0;
-  /// \returns how long ago the question was sent by whose answer this was the
-  /// newest configuration; nothing if it was never answered.
+  /// \returns the time since the query was sent whose answer last confirmed
+  /// this configuration as the newest; empty if none was ever answered.
   virtual std::optional<Duration> confirmedAge(TimePoint now) const = 0;
 };
 
 /// \class EntryOptions
 /// \ingroup Serving
-/// \brief The knobs of an entry. docs/OPERATORS.md says what each does.
+/// \brief Options of an entry; docs/OPERATORS.md describes each of them.
 struct EntryOptions {
-  /// Random number drawn when the process started.
+  /// Random number drawn at the start of the process.
   std::uint64_t Incarnation = 0;
-  /// An agent that doesn't say at least "admitted" in this time is passed by.
+  /// Time within which an agent has to admit or refuse an attempt. After it an
+  /// idempotent request goes to another host.
   Duration AdmitTimeout = std::chrono::seconds(1);
-  /// Attempts at hosts that failed, for each request.
+  /// Maximum number of retries after host failures, for each request.
   std::uint32_t MaxRetries = 3;
-  /// First pause of a host that failed; it doubles up to sixteenfold.
+  /// Time for which a host is avoided after its first failure; it doubles with
+  /// each further one, up to 16 times this value.
   Duration SuspendTime = std::chrono::milliseconds(500);
-  /// Requests in progress in this process.
+  /// Maximum number of requests in progress in this process.
   std::size_t MaxRequests = 20000;
-  /// When to come back to a process that isn't certain of its configuration.
+  /// Retry-after of the refusals by a process that can't confirm its
+  /// configuration.
   Duration IsolatedComeBack = std::chrono::seconds(1);
 };
 
@@ -157,13 +160,15 @@
   TimePoint Deadline;
   std::vector<TriedHost> Tried;
   std::optional<CurrentAttempt> Attempt;
-  /// Some attempt may have had effects.
+  /// An attempt may have had effects.
   bool MayHaveRun = false;
-  /// Holder and proposal of the claim, for requests that may not be repeated.
+  /// Holder of the claim, whether the claim was granted, and the nonce of its
+  /// proposal; only for non-idempotent requests.
   std::optional<AttemptId> Claim;
   bool ClaimHeld = false;
   std::uint64_t ClaimNonce = 0;
-  /// Text that the caller has, for attempts that go on where one broke off.
+  /// Text delivered to the caller so far, from which the next attempt
+  /// continues.
   std::string Delivered;
   std::uint64_t DeliveredTokens = 0;
   std::uint32_t Retries = 0;
@@ -172,7 +177,7 @@
 
 /// \class EntryBoard
 /// \ingroup Serving
-/// \brief What the controllers of an entry know in common.
+/// \brief The state that the controllers of an entry share.
 struct EntryBoard {
   EntryBoard(const EntryOptions &options,
              const ConfigurationView &configuration)
