--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -29,7 +29,7 @@
 void AgentController::onCancel(TimePoint now, const AttemptId &attempt) {
   if (Admission.forget(attempt))
     return decide(now);
-  // The pin stays until the engine says that it has stopped.
+  // The slot stays pinned until the engine reports that it has stopped.
   if (Board.Running.contains(attempt))
     Board.Commands.push_back(CancelWork{attempt});
 }
@@ -44,7 +44,8 @@
   for (const AttemptId &it : waiting)
     Admission.forget(it);
   for (const auto &[attempt, running] : Board.Running)
-    // A call that may not be repeated runs to its end: half of it helps nobody.
+    // Calls of plain services may be non-idempotent and run to their end: a
+    // call that stops halfway is of no use.
     if (running.Entry == entry && !running.IsService)
       Board.Commands.push_back(CancelWork{attempt});
   decide(now);
@@ -105,7 +106,7 @@
 
 void AgentController::onRateLimitSeen(TimePoint now,
                                       const RateLimitSeen &message) {
-  // Only of the process that runs now.
+  // Accept a limit only from the engine's current process.
   if (!Board.Running.contains(message.Attempt))
     return;
   applyRateLimit(now, message.Limit);
@@ -201,7 +202,7 @@
     return;
   }
   if (!Board.EngineIdleSince) {
-    // What it holds now may have been read before it became idle.
+    // The resident adapters may have been read before the engine became idle.
     Board.EngineIdleSince = now;
     return;
   }
@@ -233,7 +234,8 @@
 
 void AgentController::onEngineLost(TimePoint now) {
   Board.EngineIdleSince.reset();
-  // What starts now starts without orders of anybody.
+  // No order of another agent process can be in flight to the next engine
+  // process.
   Board.EngineIsOurs = true;
   if (!Board.EngineReady)
     return;
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -8,72 +8,77 @@
 
 /// \class AgentController
 /// \ingroup Serving
-/// \brief All decisions of the process beside a backend server. The shell
-/// tells it what happened and carries out the commands it leaves.
+/// \brief Makes all decisions of the agent, the process beside a backend
+/// server. The I/O layer reports events to it and carries out the commands that
+/// it leaves.
 ///
 /// Use it wherever one process has sole authority over an engine's slots. It
-/// isn't for sharing an engine between two masters.
+/// doesn't support two processes that manage the same engine.
 class AgentController {
 public:
-  /// \param eviction and \p gate outlive the controller.
+  /// \param eviction and \p gate must outlive the controller.
   AgentController(const AgentOptions &options, const EvictionPolicy &eviction,
                   LoadGate &gate);
 
   void onExecute(TimePoint now, EntryLink entry, const ExecuteRequest &request);
   void onCancel(TimePoint now, const AttemptId &attempt);
-  /// The link to an entry has ended: its work is cancelled.
+  /// The link to an entry has ended: cancels the entry's work, except calls of
+  /// plain services.
   void onEntryGone(TimePoint now, EntryLink entry);
 
-  /// A piece of an answer came from the engine.
+  /// The engine produced a part of an answer.
   void onTokens(TimePoint now, const AttemptId &attempt, std::uint32_t tokens,
                 std::string text);
-  /// The engine or service is done with an attempt.
+  /// The engine or service has ended its work on an attempt.
   void onWorkEnded(TimePoint now, const AttemptId &attempt,
                    AttemptEnding ending, std::string payload);
-  /// The engine or service turned an attempt down before it began.
+  /// The engine or service rejected an attempt before it began.
   void onWorkNotStarted(TimePoint now, const AttemptId &attempt);
-  /// An entry that sent an attempt to the engine itself is done with it.
-  /// The entry lives.
+  /// A message of an entry was received, which shows that the entry is running.
   void onHeard(TimePoint now, EntryLink entry) { Board.HeardOf[entry] = now; }
   /// The engine has begun to answer a delegated request.
   void onBegan(TimePoint now, const AttemptBegan &message);
+  /// An entry reports the end of an attempt that it sent to the engine itself.
   void onReleased(TimePoint now, const AttemptReleased &message);
-  /// \returns the engine's limit, for those who haven't learned of it.
+  /// \returns the engine's rate limit, to pass it on to entries that may not
+  /// know it.
   RateLimit rateLimit(TimePoint now) const { return Board.Pacer.limit(now); }
-  /// \returns how long one request's share of the engine's pace takes; zero
+  /// \returns the interval between two requests at the engine's pace; zero
   /// while it is neither limited nor cold.
   Duration pace(TimePoint now) const { return Board.Pacer.interval(now); }
-  /// The entries name another process of the engine.
+  /// The entries report that another process of the engine runs now.
   void onProcessChanged() { Board.Pacer.reset(); }
-  /// An entry has learned what its answer said of the engine's limit.
+  /// An entry reports the engine's rate limit as an answer named it.
   void onRateLimitSeen(TimePoint now, const RateLimitSeen &message);
-  /// The configuration says how many adapters the engine may hold, and how many
-  /// requests it runs in one step.
+  /// The configuration names the engine's number of adapter slots and its batch
+  /// capacity.
   void onProfile(TimePoint now, const EngineProfile &profile);
-  /// What the engine holds, told again while it is in use.
+  /// Updates the resident adapters while the engine is in use.
   void onResident(TimePoint now, const std::vector<AdapterKey> &resident);
-  /// \returns the load as entries are told it.
+  /// \returns the load figures that are sent to entries.
   LoadFigures figures(TimePoint now) const { return Admission.figures(now); }
   void onLoadEnded(TimePoint now, const AdapterKey &key, bool succeeded,
                    Duration took);
-  /// The engine answers; \p resident is what it holds, \p idle says that it
-  /// runs nothing. To be called again and again until the engine is in use: an
-  /// agent that starts beside a running engine knows neither its requests nor
-  /// the orders that are on their way to it, and waits them out.
+  /// The engine answers; \p resident are the adapters it holds, \p idle says
+  /// whether it runs nothing. Call this repeatedly until the engine is in use:
+  /// an agent that starts beside a running engine knows neither the engine's
+  /// requests nor the orders in flight to it, and waits until they have ended.
   void onEngineFound(TimePoint now, const std::vector<AdapterKey> &resident,
                      bool idle);
-  /// The engine is gone or has started anew: its slots are empty.
+  /// The engine is gone or was restarted: its slots are empty.
   void onEngineLost(TimePoint now);
 
   void onTicket(TimePoint now, const LoadTicket &ticket);
   void onLoadQueueStatus(TimePoint now, const LoadQueueStatus &status);
   void onMembers(std::uint32_t members);
 
-  /// From now on no new work; what waits is refused, what runs is finished.
+  /// Admits no new work from now on. Waiting requests are refused, running ones
+  /// are finished.
   void leave(TimePoint now);
   /// \returns whether nothing runs or waits.
   bool idle() const { return Board.Running.empty() && Board.WaitingCount == 0; }
-  /// Looks at time limits; to be called every few milliseconds to seconds.
+  /// Handles expired time limits. Call it at intervals of a few milliseconds to
+  /// a few seconds.
   void tick(TimePoint now);
 
   std::vector<AgentCommand> takeCommands();
@@ -82,10 +87,11 @@
 private:
   void applyRateLimit(TimePoint now, const RateLimit &limit);
   void applyColdStart(TimePoint now, const ColdStart &cold);
-  /// The engine has started beside this agent, and nobody may have said yet
-  /// that it is cold.
+  /// Applies the cold-start limits of the profile to an engine that started
+  /// while this agent ran, since no entry may have reported yet that it is
+  /// cold.
   void presumeCold(TimePoint now);
-  /// Gives up the slots of delegated requests that must have ended by now.
+  /// Releases the slots of delegated requests that must have ended by now.
   void releaseOverdue(TimePoint now);
   void decide(TimePoint now);
   void endAttempt(TimePoint now, const AttemptId &attempt,
--- a/packages/serving/pimentofront/src/Serving/DispatchController.h
+++ b/packages/serving/pimentofront/src/Serving/DispatchController.h
@@ -7,10 +7,10 @@
 
 /// \class DispatchController
 /// \ingroup Serving
-/// \brief Gives the engine the next requests while it has room: kinds share by
-/// weight (stride scheduling, Waldspurger and Weihl, 1995), within a kind the
-/// earliest deadline goes first. No kind starves, since each start moves its
-/// kind back in the order.
+/// \brief Starts waiting requests while the engine has capacity. Kinds share it
+/// by weight (stride scheduling, Waldspurger and Weihl, 1995); within a kind
+/// the earliest deadline goes first. No kind starves, since each start advances
+/// the pass of its kind.
 class DispatchController {
 public:
   explicit DispatchController(AgentBoard &board) : Board(board) {}
@@ -25,15 +25,16 @@
     double Pass = 0;
   };
   std::optional<Candidate> choose() const;
-  /// \returns whether an idle engine should wait for more to share its steps.
+  /// \returns whether an idle engine should wait for more requests to batch.
   bool waitsForCompany(TimePoint now) const;
   bool goesBefore(const Candidate &a, const Candidate &b) const;
   void start(TimePoint now, const Candidate &candidate);
 
   AgentBoard &Board;
-  /// Service that each kind has had, divided by its weight.
+  /// Virtual time (pass) of each kind: its starts divided by its weight.
   std::map<KindName, double> Passes;
-  /// Pass of the kind that was served last: where a kind that was away begins.
+  /// Pass of the kind that was served last, at which a kind without waiting
+  /// requests resumes.
   double CurrentPass = 0;
 };
 
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -5,8 +5,8 @@
 namespace pimentofront {
 namespace {
 
-/// How long the ending of a claim is proposed again before it is left to the
-/// ledger's own limit.
+/// How long the ending of a claim is proposed again before the claim is left to
+/// expire in the ledger.
 constexpr Duration EndingLifetime = std::chrono::minutes(2);
 
 std::uint64_t contentHash(const CallerRequest &request) {
@@ -19,7 +19,8 @@
          reason == RefusalReason::LoadFailed;
 }
 
-/// \returns the live version that was named, or the highest live one.
+/// \returns the selected live version, or the highest live one if none was
+/// selected.
 const VersionRecord *chooseVersion(const AdapterRecord &adapter,
                                    VersionNumber wanted) {
   const VersionRecord *best = nullptr;
@@ -43,7 +44,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// A request arrives
+// New requests
 //===----------------------------------------------------------------------===//
 
 void EntryController::refuseNew(const CallerRequest &request,
@@ -148,14 +149,14 @@
   Board.Claims.erase(it);
   constexpr Duration Later = std::chrono::seconds(1);
   if (!outcome)
-    // Nothing was sent; finish() withdraws the claim in case it was granted.
+    // No attempt was sent; finish() withdraws the claim in case it was granted.
     return finish(request, {.Kind = FinalKind::Refused,
                             .Reason = RefusalReason::NoClaim,
                             .ComeBack = Board.Jitter.jitter(Later),
                             .Payload = "the claim couldn't be committed"});
   if (outcome->Result == CommandResult::Accepted) {
     request.ClaimHeld = true;
-    // The process may have been frozen: look at the time before acting.
+    // The process may have been suspended: check the deadline before acting.
     if (now >= request.Deadline)
       return expire(now, request);
     return nextAttempt(now, request);
@@ -204,7 +205,7 @@
                                    .OnlyIfResident = route.OnlyIfResident};
   ++request.Attempts;
   Board.Attempts.emplace(id, request.Caller.Key);
-  // What is sent counts until the agent says how loaded it is.
+  // Count the request as running until the agent reports its load.
   if (!route.OnlyIfResident)
     ++member.Load.Running;
   const CallerRequest &caller = request.Caller;
@@ -310,7 +311,8 @@
   if (message.Reason == RefusalReason::BackendDown)
     suspend(now, host);
   request->Tried.push_back({host, message.Reason, message.Load, probe});
-  // The loads are ordered over all hosts: another host would say the same.
+  // The scheduler orders the loads of all hosts, so another host would give the
+  // same answer.
   const bool last = message.Reason == RefusalReason::LoadBacklog;
   const bool mayGoOn = !isHostFailure(message.Reason) || takeRetry(*request);
   if (mayGoOn && !last)
@@ -436,7 +438,7 @@
       member.Unconfirmed = true;
   std::vector<HostName> gone;
   for (const MemberRecord &it : update.Members) {
-    // Without an agent there is nobody who takes this interface's requests.
+    // A member that registered itself has no agent that accepts these requests.
     if (it.Registered)
       continue;
     MemberView &member = Board.Members[it.Host];
@@ -473,7 +475,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// The end of a request
+// Final answers
 //===----------------------------------------------------------------------===//
 
 FinalAnswer EntryController::unknown(const std::string &why) const {
@@ -515,7 +517,8 @@
 }
 
 void EntryController::expire(TimePoint, EntryRequest &request) {
-  // Also one that asks only for what is resident may be running by now.
+  // An attempt that requires its adapter to be resident may be running by now,
+  // too.
   const bool sent = request.Attempt.has_value();
   FinalAnswer answer{.Kind = FinalKind::TimedOut,
                      .Payload = "no answer within the time given"};
@@ -538,7 +541,7 @@
     return;
   EntryRequest &request = it->second;
   if (!request.Caller.Idempotent && request.Attempt)
-    return; // Runs to its end: its outcome is recorded for the resend.
+    return; // Runs to its end: its outcome is recorded for a resend.
   const bool mayHaveRun = request.Attempt || request.MayHaveRun;
   finish(request, {.Kind = mayHaveRun ? FinalKind::Failed : FinalKind::Refused,
                    .Payload = "the caller gave it up"});
--- a/packages/serving/pimentofront/src/Serving/EntryController.h
+++ b/packages/serving/pimentofront/src/Serving/EntryController.h
@@ -7,13 +7,14 @@
 
 /// \class EntryController
 /// \ingroup Serving
-/// \brief All decisions of the process that took a caller's request: limits,
-/// claims, routing, retries, and the one final answer.
+/// \brief Makes all decisions of the process that accepted a caller's request:
+/// limits, claims, routing, retries and the single final answer.
 ///
-/// Each request ends in exactly one DeliverFinal, unless its caller went away.
+/// Each request ends in exactly one DeliverFinal, unless its caller
+/// disconnected.
 class EntryController {
 public:
-  /// \param configuration and \p routing outlive the controller.
+  /// \param configuration and \p routing must outlive the controller.
   EntryController(const EntryOptions &options,
                   const ConfigurationView &configuration,
                   RoutingPolicy &routing);
@@ -30,27 +31,28 @@
   void onFinished(TimePoint now, const HostName &host,
                   const AttemptFinished &message);
   void onAgentLeaving(const AgentLeaving &message);
-  /// The link to an agent ended. \p wasOpen false: nothing ever got through.
+  /// The link to an agent ended. If \p wasOpen is false, no message was ever
+  /// delivered over it.
   void onLinkLost(TimePoint now, const HostName &host, bool wasOpen);
-  /// \p outcome is empty when nothing is known by the time to give up.
+  /// \p outcome is empty if the command wasn't decided by its `GiveUpAt`.
   void onDecision(TimePoint now, std::uint64_t nonce,
                   const std::optional<CommandOutcome> &outcome);
 
-  /// Members changed; hosts that are gone lose their attempts.
+  /// Updates the members; attempts on hosts that are gone are lost.
   void onMembers(TimePoint now, const MemberUpdate &update);
   void onDrains();
 
-  /// From now on every new request is refused; those in progress go on.
+  /// Refuses every new request from now on; those in progress continue.
   void stop() { Board.Stopping = true; }
   bool idle() const { return Board.Requests.empty(); }
-  /// Looks at time limits; to be called every few milliseconds.
+  /// Handles expired time limits. Call it every few milliseconds.
   void tick(TimePoint now);
 
   std::vector<EntryCommand> takeCommands();
   const EntryBoard &board() const { return Board; }
 
 private:
-  /// \returns whether an operator has taken the host or its zone out of use.
+  /// \returns whether an operator has drained the host or evacuated its zone.
   bool isOutOfUse(const MemberRecord &member) const;
   RefusalReason resolve(EntryRequest &request, std::string &detail) const;
   void refuseNew(const CallerRequest &request, RefusalReason reason,
@@ -59,14 +61,15 @@
   void nextAttempt(TimePoint now, EntryRequest &request);
   void send(TimePoint now, EntryRequest &request, const Route &route);
   void noMoreRoutes(EntryRequest &request);
-  /// Takes the attempt off the request. \returns null if it is a late answer.
+  /// \returns the request whose current attempt this is; null for a late
+  /// answer.
   EntryRequest *find(const AttemptId &attempt, const HostName &host);
-  /// \returns whether one more attempt after a failure is allowed.
+  /// \returns whether a retry after a failure is allowed, and counts it.
   bool takeRetry(EntryRequest &request);
   void noteLoad(const HostName &host, const LoadFigures &load);
   void dropAttempt(EntryRequest &request);
   void cancelAttempt(EntryRequest &request);
-  /// The current attempt broke off after it may have begun.
+  /// The current attempt ended early and may have begun.
   void attemptLost(TimePoint now, EntryRequest &request,
                    const std::string &why);
   void suspend(TimePoint now, const HostName &host);
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
@@ -26,7 +26,8 @@
          query.Tried.end();
 }
 
-/// \returns whether the host was asked to load it, too, and said no.
+/// \returns whether the host refused an attempt for which it could have loaded
+/// the adapter.
 bool wasTriedInFull(const RouteQuery &query, const HostName &host) {
   return std::ranges::any_of(query.Tried, [&](const TriedHost &it) {
     return it.Host == host && !it.OnlyIfResident;
@@ -125,7 +126,7 @@
   for (const MemberView *it : hosts)
     if (!detail::wasTried(query, it->Record.Host))
       return Route{it->Record.Host, /*OnlyIfResident=*/n > 1};
-  // None of them holds it: have it loaded where the least is lost.
+  // No host has the adapter: load it where the eviction costs least.
   const auto cost = [&](const MemberView *it) {
     constexpr double Thousand = 1000;
     const double used = (it->Load.Running + it->Load.Queued) /
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
@@ -12,38 +12,39 @@
 
 /// \class MemberView
 /// \ingroup Serving
-/// \brief What an entry knows of one backend server's host.
+/// \brief An entry's view of one backend server's host.
 struct MemberView {
   MemberRecord Record;
   /// Hash of the host's name, for the rendezvous order.
   std::uint64_t NameHash = 0;
-  /// Last word of the agent on its load; a hint.
+  /// Load that the agent last reported; it may be out of date.
   LoadFigures Load;
-  /// Set after failures: routed to only when nothing else is left.
+  /// Set after failures: until then the host is chosen only if there is no
+  /// other.
   TimePoint SuspendedUntil;
   std::uint32_t Failures = 0;
-  /// Its server wants nothing from this entry until then: nothing is sent
-  /// there, whatever else is left.
+  /// Until then the server has asked this entry for no requests: nothing is
+  /// sent there, even if there is no other host.
   TimePoint RestUntil;
-  /// An operator has taken the host out of use.
+  /// An operator has drained the host or evacuated its zone.
   bool Drained = false;
-  /// The leader of the replicas hasn't named it since the leader changed.
+  /// The replicas' current leader hasn't listed the host since it took over.
   bool Unconfirmed = false;
 };
 using MemberViews = std::map<HostName, MemberView>;
 
 /// \class TriedHost
 /// \ingroup Serving
-/// \brief A host that turned this request down, and why.
+/// \brief A host that refused this request, and why.
 struct TriedHost {
   HostName Host;
   RefusalReason Reason = RefusalReason::None;
   LoadFigures Load;
-  /// The host was asked only for what is resident.
+  /// The attempt required the adapter to be resident.
   bool OnlyIfResident = false;
-  /// How long this request would wait there, by the word of the host.
+  /// Wait of this request there, as the host estimates it.
   Duration Wait = Duration::zero();
-  /// The host has its adapter, or is loading it.
+  /// The host has the adapter, or is loading it.
   bool Holds = false;
 };
 
@@ -52,14 +53,14 @@
 struct RouteQuery {
   AdapterKey Key;
   std::string BaseModel;
-  /// Set for a plain service; then there is no adapter.
+  /// Set for a call of a plain service, which uses no adapter.
   ServiceName Service;
   const std::vector<TriedHost> &Tried;
-  /// Requests with the same number share most of their prompt; 0 is none.
+  /// Requests with the same number share most of their prompt; 0 means none.
   std::uint64_t Prefix = 0;
-  /// Time until the first event has to come; not positive when it is late.
+  /// Time left until the first event is due; zero or negative when it is late.
   Duration Target = NoTarget;
-  /// Where it may be served.
+  /// Zones in which the request may be served.
   AllowedZones Zones;
 };
 
@@ -67,44 +68,44 @@
 /// \ingroup Serving
 struct Route {
   HostName Host;
-  /// Asks the host to refuse rather than load.
+  /// The host refuses the request if it would have to load the adapter.
   bool OnlyIfResident = false;
-  /// Asks the host to refuse when the first event would come later; zero sets
-  /// no limit.
+  /// The host refuses the request if its first event would take longer; zero
+  /// sets no limit.
   Duration FirstEventWithin = Duration::zero();
 };
 
 /// \class RoutingPolicy
 /// \ingroup Serving
-/// \brief Which backend server gets a request.
+/// \brief Chooses the backend server for a request.
 class RoutingPolicy {
 public:
   virtual ~RoutingPolicy() = default;
-  /// \returns the next host to try, or nothing when all have been.
+  /// \returns the next host to try, or nothing if all were tried.
   virtual std::optional<Route> choose(TimePoint now, const RouteQuery &query,
                                       const MemberViews &members) = 0;
-  /// The adapter was found to be on this host, or not.
+  /// Records whether the adapter was found on this host.
   virtual void learn(const AdapterKey &, const HostName &, bool) {}
 };
 
 /// \class LeastLoaded
 /// \ingroup Serving
-/// \brief The host with the fewest requests, wherever the adapter is; a
-/// baseline, and the way for plain services.
+/// \brief Chooses the host with the fewest requests, wherever the adapter is.
+/// Used for plain services, and as a baseline for adapters.
 class LeastLoaded : public RoutingPolicy {
 public:
   std::optional<Route> choose(TimePoint now, const RouteQuery &query,
                               const MemberViews &members) override;
 
 private:
-  /// Breaks ties in turn.
+  /// Round-robin position that breaks ties.
   std::uint64_t Turn = 0;
 };
 
 /// \class ConsistentHash
 /// \ingroup Serving
-/// \brief The first host of the rendezvous order (Thaler and Ravishankar,
-/// 1998), the next one when it refuses; a baseline.
+/// \brief Chooses the first host of the rendezvous order (Thaler and
+/// Ravishankar, 1998), and the next one when it refuses; a baseline.
 class ConsistentHash : public RoutingPolicy {
 public:
   std::optional<Route> choose(TimePoint now, const RouteQuery &query,
@@ -114,26 +115,28 @@
 /// \class AffinityOptions
 /// \ingroup Serving
 struct AffinityOptions {
-  /// Hosts of the rendezvous order that may hold an adapter.
+  /// Number of hosts in the rendezvous order that may hold an adapter.
   std::uint32_t Choices = 4;
-  /// Adapters whose host is remembered.
+  /// Maximum number of adapters whose last known host is remembered.
   std::size_t HintCapacity = 8192;
-  /// How much a full batch counts against the worth of the adapter that would
-  /// be given up, in requests; more packs low-traffic adapters together.
+  /// Weight of a full batch against the value of the adapter that would be
+  /// evicted, in requests. A higher weight places low-traffic adapters together
+  /// on fewer hosts.
   double PackingWeight = 0;
 };
 
 /// \class AffinityRouting
 /// \ingroup Serving
-/// \brief Asks the few hosts that may hold the adapter, the remembered one
-/// first, and has it loaded where the least is lost when none does.
+/// \brief Asks the few hosts that may hold the adapter, the last known one
+/// first. If none has it, it is loaded on the host where the eviction costs
+/// least.
 ///
 /// An entry keeps no table of adapters and hosts: each adapter has a few hosts
-/// in a fixed order, the agents themselves say whether they hold it, and a
-/// miss costs a few round trips, which are little beside a load. With several
-/// choices a slot is taken from the least popular adapter of several hosts
-/// (the power of two choices, Mitzenmacher, 2001), which comes near to one
-/// cache over all of them.
+/// in a fixed order, and the agents report whether they hold it. A miss costs a
+/// few round trips, which take little time compared to a load. With several
+/// choices the slot of the least popular adapter over several hosts is taken
+/// (the power of two choices, Mitzenmacher, 2001), which comes close to a
+/// single cache over all hosts.
 class AffinityRouting : public RoutingPolicy {
 public:
   explicit AffinityRouting(const AffinityOptions &options) : Options(options) {}
@@ -148,13 +151,14 @@
 
 namespace detail {
 
-/// \returns hosts that may get the request now: not leaving, drained or
-/// suspended, in an allowed zone, with the base model or service. Suspended
-/// ones only when there is no other.
+/// \returns the hosts that may get the request now: not leaving, not drained,
+/// not backing off, in an allowed zone, with the base model or service. Hosts
+/// with recent failures are returned only if there is no other.
 std::vector<const MemberView *> eligibleHosts(TimePoint now,
                                               const RouteQuery &query,
                                               const MemberViews &members);
-/// Sorts the first \p n of \p hosts into the rendezvous order of \p key.
+/// Moves the first \p n hosts in the rendezvous order of \p key to the front of
+/// \p hosts, in that order.
 void orderByRendezvous(const AdapterKey &key, std::size_t n,
                        std::vector<const MemberView *> &hosts);
 
