--- a/packages/serving/pimentofront/Serving.h
+++ b/packages/serving/pimentofront/Serving.h
@@ -2,10 +2,10 @@
 ///
 /// \file
 /// \defgroup Serving Serving
-/// The decisions on a request's way: the entry's routing, limits and retries,
-/// the agent's admission, dispatch and slots, and the scheduler of adapter
-/// loads. Controllers read and write a blackboard, take the present time as an
-/// argument and leave typed commands; nothing in here performs I/O.
+/// The decisions about a request: routing, limits and retries in the entry,
+/// admission, dispatch and slots in the agent, and the scheduling of adapter
+/// loads. Controllers read and write a blackboard, take the current time as an
+/// argument and leave typed commands; nothing in this module performs I/O.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_SERVING_H
@@ -13,7 +13,7 @@
 
 #include "pimentofront/Wire.h"
 
-// The parts, in the order of their dependencies.
+// The order follows the dependencies between the headers.
 // clang-format off
 #include "src/Serving/AllowedZones.h"
 #include "src/Serving/Popularity.h"
--- a/packages/serving/pimentofront/src/Serving/AllowedZones.h
+++ b/packages/serving/pimentofront/src/Serving/AllowedZones.h
@@ -9,12 +9,13 @@
 
 namespace pimentofront {
 
-/// Region of each availability zone, as the deployment's settings name them.
+/// The region of each availability zone, as named in the settings of the
+/// deployment.
 using ZoneRegions = std::map<ZoneName, RegionName>;
 
 /// \ingroup Serving
-/// \returns whether the deployment has that zone; where its zones aren't known,
-/// any may be there.
+/// \returns whether the deployment may have that zone. If its zones aren't
+/// known, any zone is possible.
 inline bool mayExist(const ZoneRegions &zones, const ZoneName &zone) {
   return zones.empty() || zones.contains(zone);
 }
@@ -23,21 +24,22 @@
 /// \ingroup Serving
 /// \brief The availability zones in which a request may be served.
 ///
-/// A route and a client account may each name regions; where both do, both
-/// bind. A zone whose region isn't known is in none of them. Immutable: a
-/// request keeps what held when it arrived.
+/// A route and a client account may each name regions; if both do, both
+/// restrictions apply. A zone with an unknown region is in none of them.
+/// Immutable: a request keeps the restrictions in force when it arrived.
 class AllowedZones {
 public:
-  /// All zones.
+  /// Allows all zones.
   AllowedZones() = default;
-  /// Those in each of the lists of regions that isn't empty.
+  /// Allows the zones whose region is in both lists. An empty list restricts
+  /// nothing.
   AllowedZones(const ZoneRegions &regions, const std::vector<RegionName> &route,
                const std::vector<RegionName> &account);
 
   bool contains(const ZoneName &zone) const {
     return !Restricted || Zones.contains(zone);
   }
-  /// \returns whether there are zones in which the request may not be served.
+  /// \returns whether a region list restricts the request.
   bool isRestricted() const { return Restricted; }
   friend auto operator<=>(const AllowedZones &, const AllowedZones &) = default;
 
--- a/packages/serving/pimentofront/src/Serving/InFlightLimits.h
+++ b/packages/serving/pimentofront/src/Serving/InFlightLimits.h
@@ -9,11 +9,11 @@
 
 /// \class InFlightLimits
 /// \ingroup Serving
-/// \brief Counts the requests in progress of each kind and each caller of a
-/// kind, and holds them to the limits of the configuration.
+/// \brief Counts the requests in flight of each kind, and of each caller within
+/// a kind, and enforces the limits of the configuration.
 class InFlightLimits {
 public:
-  /// Counts a request in, unless a limit is reached.
+  /// Counts a new request unless a limit is reached.
   /// \returns None, KindLimit or CallerLimit.
   RefusalReason enter(const KindRecord &kind, const CallerName &caller) {
     const CallerKey key{kind.Name, caller};
--- a/packages/serving/pimentofront/src/Serving/LoadTimeModel.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadTimeModel.cpp
@@ -10,7 +10,8 @@
 }
 
 bool LoadTimeModel::hasCopy(const AdapterKey &key) const {
-  // Finding the place is only worth its time once some copy was gone.
+  // Determining the position takes linear time, and it matters only after an
+  // expected copy was missing.
   return Places.contains(key) &&
          (Depth >= Options.Capacity || placeOf(key) < Depth);
 }
--- a/packages/serving/pimentofront/src/Serving/LoadTimeModel.h
+++ b/packages/serving/pimentofront/src/Serving/LoadTimeModel.h
@@ -11,28 +11,31 @@
 /// \class LoadTimeModelOptions
 /// \ingroup Serving
 struct LoadTimeModelOptions {
-  /// What a load from the weight store takes, until one has been measured.
+  /// Estimated time of a load from the weight store, until one has been
+  /// measured.
   Duration Store = std::chrono::milliseconds(250);
-  /// What a load of a copy takes, in parts of one from the store, until one has
-  /// been measured.
+  /// Estimated time of a load from a local copy, relative to a load from the
+  /// store, until one has been measured.
   double CopyPart = 0.25;
-  /// A load that takes more than this part of one from the store came from
-  /// there: the engine had no copy any more.
+  /// A load that takes more than this share of a load from the store came from
+  /// the store: the engine no longer had a copy.
   double StorePart = 0.5;
-  /// Weight of the newest measurement.
+  /// Weight of the newest measurement in the moving average.
   double LearningRate = 0.125;
-  /// Adapters that are remembered, at most.
+  /// Maximum number of adapters that are remembered.
   std::size_t Capacity = 1024;
 };
 
 /// \class LoadTimeModel
 /// \ingroup Serving
-/// \brief How long a load will take: an engine keeps copies of adapters that it
-/// has held, and has them back many times sooner than from the weight store.
+/// \brief Estimates how long a load will take. An engine keeps copies of
+/// adapters that it has held, and loads them many times faster than from the
+/// weight store.
 ///
-/// Remembers what the engine has held since it started, the latest first. How
-/// many copies it keeps is learned: when one that should be there came from the
-/// store, only those that were held after it are believed to be.
+/// Remembers the adapters that the engine has held since its start, most
+/// recently held first. The number of copies that the engine keeps is learned:
+/// when an adapter with an expected copy is loaded from the store, only the
+/// adapters held after it are expected to have copies.
 class LoadTimeModel {
 public:
   explicit LoadTimeModel(const LoadTimeModelOptions &options)
@@ -40,33 +43,34 @@
         Copy(fromSeconds(toSeconds(options.Store) * options.CopyPart)),
         Depth(options.Capacity) {}
 
-  /// \returns what a load of \p key takes.
+  /// \returns the expected time of a load of \p key.
   Duration expected(const AdapterKey &key) const {
     return hasCopy(key) ? Copy : Store;
   }
-  /// \returns what a load from the weight store takes.
+  /// \returns the expected time of a load from the weight store.
   Duration fromStore() const { return Store; }
   bool hasCopy(const AdapterKey &key) const;
-  /// A load of \p key has taken so long; the engine holds it now.
+  /// Records that a load of \p key took \p took; the engine holds the adapter
+  /// now.
   void onLoaded(const AdapterKey &key, Duration took);
-  /// The engine holds \p key.
+  /// Records that the engine holds \p key.
   void onHeld(const AdapterKey &key);
-  /// Another process of the engine: it may have no copies.
+  /// Forgets all copies, for a new process of the engine: it may have none.
   void clear();
 
 private:
   void learn(Duration &mean, Duration took) const;
   /// \returns how many adapters were held after \p key.
-  /// \pre it is remembered.
+  /// \pre \p key is remembered.
   std::size_t placeOf(const AdapterKey &key) const;
 
   LoadTimeModelOptions Options;
   Duration Store;
   Duration Copy;
-  /// The latest first.
+  /// Most recently held first.
   std::list<AdapterKey> Held;
   std::unordered_map<AdapterKey, std::list<AdapterKey>::iterator> Places;
-  /// Copies that the engine keeps, as far as is known.
+  /// Number of copies that the engine keeps, as far as is known.
   std::size_t Depth;
 };
 
--- a/packages/serving/pimentofront/src/Serving/PrefillModel.cpp
+++ b/packages/serving/pimentofront/src/Serving/PrefillModel.cpp
@@ -5,7 +5,7 @@
 namespace pimentofront {
 namespace {
 
-/// Names a part together with all that stand before it.
+/// Hash of a part together with all parts before it.
 std::uint64_t chainOf(std::uint64_t before, const PromptPart &part) {
   const std::uint64_t pair[] = {before, part.Id};
   return stableHash({reinterpret_cast<const char *>(pair), sizeof(pair)});
@@ -63,7 +63,8 @@
 void PrefillModel::learn(std::uint32_t tokens, Duration took) {
   if (tokens < Options.LeastMeasured || took <= Duration::zero())
     return;
-  // One measurement may be spoilt by what else the engine did.
+  // Bounds the influence of one measurement, which other work of the engine may
+  // distort.
   constexpr double MostChange = 4;
   const double measured = std::clamp(tokens / toSeconds(took),
                                      Rate / MostChange, Rate * MostChange);
--- a/packages/serving/pimentofront/src/Serving/PrefillModel.h
+++ b/packages/serving/pimentofront/src/Serving/PrefillModel.h
@@ -11,50 +11,53 @@
 /// \class PrefillOptions
 /// \ingroup Serving
 struct PrefillOptions {
-  /// Tokens of prompts that the engine keeps, until it is told.
+  /// Prompt tokens that the engine caches, until its profile is known.
   std::uint64_t CacheTokens = 200'000;
-  /// Prompt tokens that it reads in a second, until some have been measured.
+  /// Prefill speed in prompt tokens per second, until it has been measured.
   double TokensPerSecond = 40'000;
-  /// Weight of the newest measurement.
+  /// Weight of the newest measurement in the moving average.
   double LearningRate = 0.1;
-  /// Prompts shorter than this say little: their time is mostly other work.
+  /// Minimum number of prompt tokens for a measurement: the time of shorter
+  /// prompts is mostly other work.
   std::uint32_t LeastMeasured = 1000;
 };
 
 /// \class PrefillModel
 /// \ingroup Serving
-/// \brief What an engine has cached of prompts and how long it will be reading
-/// those that it was given, as far as the agent beside it can tell.
+/// \brief Estimates which prompt parts an engine has cached and how long its
+/// prefill queue is, from what the agent beside it knows.
 ///
-/// Reading a prompt is the largest part of a request's work, and a part that
-/// is cached for the same adapter, with all parts before it, needs no reading.
-/// The model keeps the chains of parts in the order of their use and drops the
-/// least recently used ones, as engines do; what the engine drops for other
-/// reasons makes it too hopeful for one request.
+/// Prefill is the largest part of a request's work. A part needs none if it is
+/// cached for the same adapter together with all parts before it. The model
+/// keeps the chains of parts in LRU order and drops the least recently used
+/// ones, as engines do. If the engine drops a part for another reason, the
+/// estimate is too low for one request.
 class PrefillModel {
 public:
   explicit PrefillModel(const PrefillOptions &options = {})
       : Options(options), Rate(options.TokensPerSecond) {}
 
-  /// \returns the tokens of \p parts that aren't cached for \p key.
+  /// \returns the number of tokens in \p parts that aren't cached for \p key.
   std::uint32_t missing(const AdapterKey &key,
                         const std::vector<PromptPart> &parts) const;
-  /// \returns how long it takes to read \p parts for \p key.
+  /// \returns the prefill time of \p parts for \p key.
   Duration reading(const AdapterKey &key,
                    const std::vector<PromptPart> &parts) const {
     return fromSeconds(missing(key, parts) / Rate);
   }
-  /// \returns how long the engine is busy with the prompts it was given.
+  /// \returns the time until the engine has prefilled all prompts sent to it.
   Duration wait(TimePoint now) const {
     return std::max(BusyUntil - now, Duration::zero());
   }
-  /// The engine was given a prompt; \returns the tokens that it has to read.
+  /// Records that a prompt was sent to the engine.
+  /// \returns the number of tokens that the engine has to prefill.
   std::uint32_t begin(TimePoint now, const AdapterKey &key,
                       const std::vector<PromptPart> &parts);
-  /// Reading \p tokens on an engine without other prompts took \p took.
+  /// Updates the prefill speed: \p tokens took \p took on an engine without
+  /// other prompts.
   void learn(std::uint32_t tokens, Duration took);
   void setCacheTokens(std::uint64_t tokens);
-  /// The engine started anew.
+  /// Empties the cache model after a restart of the engine.
   void clear(TimePoint now);
   double tokensPerSecond() const { return Rate; }
 
@@ -68,7 +71,7 @@
   PrefillOptions Options;
   double Rate;
   TimePoint BusyUntil;
-  /// The last used one at the front.
+  /// Most recently used first.
   std::list<Part> Cached;
   std::unordered_map<std::uint64_t, std::list<Part>::iterator> ByChain;
   std::uint64_t CachedTokens = 0;
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
@@ -14,22 +14,23 @@
   return it == query.Tried.end() ? nullptr : &*it;
 }
 
-/// \returns whether the host said no only because the first event would come
-/// too late, or since it would have to load the adapter.
+/// \returns whether the host refused only because the first event would come
+/// too late or because the adapter isn't resident; such a host may be asked
+/// again without these conditions.
 bool isOpen(const TriedHost &word) {
   return word.Reason == RefusalReason::Busy ||
          (word.Reason == RefusalReason::NotResident && word.OnlyIfResident);
 }
 
-/// \returns whether the host said no for another reason.
+/// \returns whether the host refused for any other reason.
 bool isOut(const RouteQuery &query, const MemberView &host) {
   return std::ranges::any_of(query.Tried, [&](const TriedHost &it) {
     return it.Host == host.Record.Host && !isOpen(it);
   });
 }
 
-/// Orders the first \p n hosts by the prefix, so that each prefix has its own
-/// first one.
+/// Sorts the first \p n hosts by a hash of the prefix and the host, so that the
+/// requests with one prefix prefer the same host.
 void orderByPrefix(std::uint64_t prefix, std::size_t n, Hosts &hosts) {
   const auto score = [&](const MemberView *it) {
     const std::uint64_t pair[] = {prefix, it->NameHash};
@@ -65,7 +66,7 @@
 
 std::size_t PrefixRouting::enginesFor(TimePoint now, const AdapterKey &key,
                                       std::size_t engines) const {
-  // The base model is everywhere.
+  // Every engine serves the base model.
   if (key.Adapter.empty())
     return engines;
   const auto it = Counts.find(key);
--- a/packages/serving/pimentofront/src/Serving/RetryBudget.h
+++ b/packages/serving/pimentofront/src/Serving/RetryBudget.h
@@ -9,18 +9,20 @@
 
 /// \class RetryBudget
 /// \ingroup Serving
-/// \brief Bounds attempts after failures to a share of the requests, so that
-/// retries can't multiply an overload. A few are allowed without any requests.
+/// \brief Token bucket that bounds retries to a share of the requests, so that
+/// they can't multiply an overload. It starts with a full reserve, so that a
+/// few retries are allowed before any requests.
 class RetryBudget {
 public:
-  /// \param share retries for each request. \param reserve most that is saved.
+  /// \param share tokens that each request adds.
+  /// \param reserve maximum number of tokens; a retry takes one.
   explicit RetryBudget(double share = 0.2, double reserve = 10)
       : Share(share), Reserve(reserve), Tokens(reserve) {}
 
   void noteRequest() { Tokens = std::min(Tokens + Share, Reserve); }
-  /// \returns whether a retry may be made.
+  /// \returns whether a retry is allowed.
   bool hasRoom() const { return Tokens >= 1; }
-  /// \returns whether a retry may be made, and takes it from the budget.
+  /// \returns whether a retry is allowed, and takes it from the budget.
   bool take() {
     if (!hasRoom())
       return false;
@@ -28,7 +30,8 @@
     return true;
   }
 
-  /// Another number of processes shares what may be saved up.
+  /// Changes the reserve when the number of processes that share it has
+  /// changed.
   void setReserve(double reserve) {
     Tokens = std::min(Tokens + std::max(reserve - Reserve, 0.0), reserve);
     Reserve = reserve;
