--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -39,7 +39,7 @@
 guard "an entry that isn't certain of its configuration refuses" \
   $serving/EntryController.cpp 'if (!Board.Configuration.isConfirmed(now))' 'if (false)' "$scenarios"
 guard "an adapter in use isn't given up" \
-  $serving/SlotTable.h 'slot.Pins == 0 &&' '' "an adapter in use is never given up"
+  $serving/SlotTable.h 'slot.Pins == 0 &&' '' "an adapter in use is never evicted"
 guard "a leaving host takes no new work" \
   $serving/AdmissionController.cpp 'if (Board.Leaving)' 'if (false)' "$scenarios"
 guard "a request that may not be repeated isn't retried" \
@@ -50,7 +50,7 @@
   'if (!released || outcome.Result != CommandResult::Accepted)' 'if (false)' "$scenarios"
 guard "an answer must be whole" \
   $serving/EntryController.cpp 'message.Tokens == request->Attempt->Tokens' 'true' \
-  "an answer with a piece missing isn't passed off as whole"
+  "an answer with a missing part is not delivered as complete"
 guard "a leader relies on its lease, not on its role" \
   packages/consensus/pimentofront/src/Consensus/Election.cpp \
   'return now < since + Options.ElectionTimeout - Options.ClockMargin;' 'return true;' \
@@ -68,7 +68,7 @@
   "a copy never goes back and a part of a difference isn't a state"
 guard "an engine is waited out before it is used" \
   $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settle)' 'if (false)' \
-  "an agent beside a running engine waits out what it doesn't know"
+  "an agent that starts beside a running engine waits until the engine has settled"
 guard "a link that replicas don't own isn't used by them" \
   packages/node/pimentofront/src/Node/ReplicaNode.cpp \
   'if (hello.Replica == 0 || (hello.Accepted && !ours))' 'if (hello.Replica == 0)' \
--- a/test/AgentTest.cpp
+++ b/test/AgentTest.cpp
@@ -23,7 +23,7 @@
           .MaxTokens = 5};
 }
 
-/// An agent with two slots that loads whatever is asked for.
+/// An agent with two slots whose load gate permits every load.
 struct Agent {
   explicit Agent(AgentOptions options = {.Host = HostName("w"),
                                          .Incarnation = 1,
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("one load serves all that wait for it") {
+TEST_CASE("one load serves all requests that wait for the adapter") {
   Agent agent;
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   agent.Controller.onExecute(Now, Entry, request(2, "a"));
@@ -77,7 +77,7 @@
   CHECK(agent.take<StartGeneration>().size() == 2);
 }
 
-TEST_CASE("an adapter in use is never given up") {
+TEST_CASE("an adapter in use is never evicted") {
   Agent agent;
   for (const char *it : {"a", "b"}) {
     agent.Controller.onExecute(Now, Entry, request(it[0], it));
@@ -93,7 +93,7 @@
 }
 
 TEST_CASE(
-    "a cancelled request keeps its adapter until the engine has stopped") {
+    "a cancelled request pins its adapter until the engine has stopped it") {
   Agent agent;
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   agent.load(Now, "a");
@@ -105,7 +105,8 @@
   CHECK(agent.Controller.board().Slots.all()[0].Pins == 0);
 }
 
-TEST_CASE("an agent beside a running engine waits out what it doesn't know") {
+TEST_CASE("an agent that starts beside a running engine waits until the engine "
+          "has settled") {
   LeastPopular eviction;
   UncoordinatedLoads gate;
   AgentController agent({.BaseModel = "base", .Slots = 2}, eviction, gate);
@@ -115,19 +116,20 @@
   agent.onEngineFound(Now + 2s, held, true);
   agent.onExecute(Now + 2s, Entry, request(1, "a"));
   CHECK_FALSE(agent.board().EngineReady);
-  CHECK(agent.board().WaitingCount == 0); // Refused: not run.
+  CHECK(agent.board().WaitingCount == 0); // Refused, so it has not run.
   agent.onEngineFound(Now + 3100ms, held, true);
   CHECK(agent.board().EngineReady);
   CHECK(agent.board().Slots.isReady(held[0]));
 }
 
-TEST_CASE("an engine that starts anew is cold, and its loads are forgotten") {
+TEST_CASE("a restarted engine holds no adapters and is used after the old load "
+          "orders have ended") {
   Agent agent;
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   REQUIRE(agent.take<StartLoad>().size() == 1);
   agent.Controller.onEngineLost(Now);
   CHECK(agent.refusal()->Reason == RefusalReason::BackendDown);
-  // The order to the former engine is still under way.
+  // The load order to the previous engine process is still in flight.
   agent.Controller.onEngineFound(Now + 1s, {}, true);
   agent.Controller.onEngineFound(Now + 2s, {}, true);
   CHECK_FALSE(agent.Controller.board().EngineReady);
@@ -138,7 +140,7 @@
   CHECK(agent.Controller.board().SetAside.empty());
 }
 
-TEST_CASE("an adapter that fails to load is set aside, longer each time") {
+TEST_CASE("each failed load of an adapter lengthens its backoff") {
   Agent agent;
   Duration before = 0s;
   TimePoint now = Now;
@@ -160,7 +162,7 @@
   CHECK(agent.take<StartLoad>().size() == 1);
 }
 
-TEST_CASE("a leaving agent refuses what waits and takes no more") {
+TEST_CASE("an agent that shuts down refuses waiting and new requests") {
   Agent agent;
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   agent.Controller.leave(Now);
@@ -170,7 +172,8 @@
   CHECK(agent.Controller.idle());
 }
 
-TEST_CASE("kinds share by weight, and the light one isn't starved") {
+TEST_CASE("kinds share the engine by weight and the one of low weight is not "
+          "starved") {
   Agent agent(
       {.BaseModel = "base", .Slots = 2, .BatchCapacity = 1, .CompanyShare = 0});
   for (std::uint64_t i = 0; i < 40; ++i) {
@@ -190,7 +193,8 @@
   CHECK(heavy == 15);
 }
 
-TEST_CASE("an idle engine waits for company, but not past its share") {
+TEST_CASE(
+    "an idle engine waits for requests to batch but not beyond the limits") {
   Agent agent({.BaseModel = "base",
                .Slots = 2,
                .BatchCapacity = 8,
@@ -203,10 +207,11 @@
   agent.Controller.tick(Now + 100ms);
   CHECK(agent.take<StartGeneration>().size() == 1);
   agent.Controller.onExecute(Now + 1s, Entry, request(2, "a", 10s));
-  CHECK(agent.take<StartGeneration>().size() == 1); // The steps run anyway.
+  CHECK(agent.take<StartGeneration>().size() ==
+        1); // The engine runs steps already.
   for (std::uint64_t n : {1, 2})
     agent.Controller.onWorkEnded(Now + 1s, {1, n}, AttemptEnding::Answered, "");
-  // However long its window, it doesn't wait longer than the limit.
+  // The wait never exceeds the limit, even with a long window.
   agent.Controller.onExecute(Now + 2s, Entry, request(3, "a", 60s));
   agent.Controller.tick(Now + 2390ms);
   CHECK(agent.take<StartGeneration>().empty());
@@ -214,8 +219,8 @@
   CHECK(agent.take<StartGeneration>().size() == 1);
 }
 
-TEST_CASE(
-    "a request is refused when its load would take too much of its time") {
+TEST_CASE("a request is refused when its load would take too large a share of "
+          "its time") {
   LeastPopular eviction;
   ScheduledLoads gate(4, 1);
   AgentController agent({.BaseModel = "base", .Slots = 2, .StallShare = 0.4},
@@ -230,9 +235,11 @@
   CHECK_FALSE(agent.board().Waiting.contains({AdapterName("b"), 1}));
 }
 
-// A caller with two seconds left was refused each time, since an answer was
-// thought to take two: the entry sends the request itself, and has judged that.
-TEST_CASE("the scheduler's word refuses nobody whose entry judges the wait") {
+// The entry of a delegated request sends it to the engine itself and has
+// checked its time. If the agent checked it as well, with its estimate of two
+// seconds for an answer, a request with two seconds left would be refused each
+// time.
+TEST_CASE("a queue status of the scheduler refuses no delegated request") {
   LeastPopular eviction;
   SharedLoads gate({});
   AgentController agent({.BaseModel = "base", .Slots = 2}, eviction, gate);
@@ -245,7 +252,7 @@
   CHECK(agent.board().Waiting.contains({AdapterName("a"), 1}));
 }
 
-TEST_CASE("without a word of the scheduler the agent takes its fixed share") {
+TEST_CASE("without messages of the scheduler the agent uses its static share") {
   LeastPopular eviction;
   ScheduledLoads gate(4, 8, 2s);
   AgentController agent({.BaseModel = "base", .Slots = 2}, eviction, gate);
@@ -258,13 +265,15 @@
   CHECK(agent.board().LoadsUnderWay == 1);
   agent.onLoadEnded(Now + 2200ms, {AdapterName("a"), 1}, true, 100ms);
   agent.onExecute(Now + 2200ms, Entry, request(2, "b", 60s));
-  agent.tick(Now + 4s); // Eight agents share four a second: one in 2 s.
+  agent.tick(Now +
+             4s); // Eight agents share four loads per second: one each in 2 s.
   CHECK(agent.board().LoadsUnderWay == 0);
   agent.tick(Now + 4300ms);
   CHECK(agent.board().LoadsUnderWay == 1);
 }
 
-TEST_CASE("an entry that goes away has its work cancelled, not its orders") {
+TEST_CASE("when an entry is gone its generations are cancelled and its service "
+          "calls continue") {
   Agent agent({.BaseModel = "base",
                .Services = {ServiceName("stock")},
                .Slots = 2,
@@ -282,11 +291,11 @@
   CHECK(cancelled[0].Attempt == AttemptId{1, 1});
 }
 
-TEST_CASE(
-    "an agent's word on the first event counts the prompt's own reading") {
+TEST_CASE("the estimate of the first event includes the prefill of the prompt "
+          "itself") {
   Agent agent;
   ExecuteRequest next = request(1, "a");
-  // 8,000 tokens at 40,000 a second, after a load of 250 ms.
+  // 8,000 tokens at 40,000 per second, after a load of 250 ms.
   next.Parts = {{.Id = 1, .Tokens = 6000}, {.Id = 2, .Tokens = 2000}};
   next.FirstEventWithin = 440ms;
   agent.Controller.onExecute(Now, Entry, next);
@@ -298,15 +307,16 @@
   CHECK(agent.take<StartLoad>().size() == 1);
 }
 
-TEST_CASE("an agent's word on waiting counts the wait for a slot") {
+TEST_CASE("the estimate of the first event includes the wait for a slot") {
   Agent agent;
   for (const char *adapter : {"a", "b"}) {
     agent.Controller.onExecute(Now, Entry, request(adapter[0], adapter));
     agent.load(Now, adapter);
   }
   ExecuteRequest next = request(3, "c");
-  // Both slots serve a request, which takes two seconds by the options: a load
-  // could begin after about one, when the first of them is free.
+  // Both slots serve a request, which takes two seconds according to the
+  // options: a load could begin after about one second, when the first slot is
+  // free.
   next.FirstEventWithin = 800ms;
   agent.Controller.onExecute(Now, Entry, next);
   const auto refused = agent.refusal();
@@ -316,7 +326,7 @@
   next.Attempt = {1, 4};
   next.FirstEventWithin = 1500ms;
   agent.Controller.onExecute(Now, Entry, next);
-  // The one after it waits for the second slot.
+  // The next request waits for the second slot.
   next = request(5, "d");
   next.FirstEventWithin = 1500ms;
   agent.Controller.onExecute(Now, Entry, next);
@@ -325,18 +335,18 @@
   CHECK(agent.refusal()->ComeBack == 2250ms);
 }
 
-// A popular adapter fills the batches of the engines that hold it while others
-// are idle: 64 requests in each, and the next ones waited two seconds there
-// though they had been promised a quarter of one.
-TEST_CASE(
-    "an agent's word on waiting counts the wait for a place in the batch") {
+// A popular adapter fills the batches of the engines that hold it while other
+// engines are idle. With 64 requests in each batch, further requests waited two
+// seconds there although the estimate was a quarter of a second.
+TEST_CASE("the estimate of the first event includes the wait for a place in "
+          "the batch") {
   Agent agent;
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   agent.load(Now, "a");
   agent.Controller.onExecute(Now, Entry, request(2, "a"));
   REQUIRE(agent.take<StartGeneration>().size() == 2);
   ExecuteRequest next = request(3, "a");
-  // Two requests of two seconds each: one of them ends within about one.
+  // Two requests of two seconds each: one of them ends after about one second.
   next.FirstEventWithin = 800ms;
   agent.Controller.onExecute(Now, Entry, next);
   REQUIRE(agent.refusal());
@@ -344,7 +354,8 @@
   CHECK(agent.refusal()->ComeBack == 1s);
 }
 
-TEST_CASE("the load that lets an answer be on time goes before late ones") {
+TEST_CASE(
+    "a load that lets an answer be on time precedes loads for late answers") {
   Agent agent({.Host = HostName("w"),
                .Incarnation = 1,
                .BaseModel = "base",
@@ -353,8 +364,8 @@
                .CompanyShare = 0});
   agent.Controller.onExecute(Now, Entry, request(1, "held"));
   agent.load(Now, "held");
-  // Both wait for the only slot; the first one is late whatever happens, and
-  // has less time until its answer is useless.
+  // Both wait for the only slot. The first one is late in any case, and its
+  // deadline comes first.
   ExecuteRequest late = request(2, "late", 4s);
   late.FirstEventDue = 200ms;
   agent.Controller.onExecute(Now, Entry, late);
@@ -367,15 +378,16 @@
         Now + later, {.Attempt = {1, 1}, .Kind = ReleaseKind::Answered});
     return agent.take<StartLoad>().at(0).Key.Adapter;
   };
-  SECTION("while it can be on time") {
+  SECTION("while the answer can be on time") {
     CHECK(chosen(100ms) == AdapterName("soon"));
   }
-  SECTION("afterwards the one with less time goes first") {
+  SECTION("afterwards the request with the earlier deadline comes first") {
     CHECK(chosen(800ms) == AdapterName("late"));
   }
 }
 
-TEST_CASE("a slot isn't kept for a request whose end was never told") {
+TEST_CASE(
+    "a slot is released although the end of its request was never reported") {
   Agent agent;
   for (const char *adapter : {"a", "b"}) {
     ExecuteRequest delegated = request(adapter[0], adapter, 2s);
@@ -391,14 +403,14 @@
   CHECK(agent.take<StartLoad>().size() == 1);
 }
 
-// Seen: an engine had turned slow for 2.5 s when it was given a request that it
-// began five seconds later, past the caller's deadline and on a version that
-// had been superseded for longer than the bound; the entry stood still and
-// couldn't take it back. Cause: an agent learned how late its engine was only
-// from answers that had ended, and slow ones end late. An order to the engine
-// to give the adapter up doesn't help: a prompt that it reads counts as at
-// work.
-TEST_CASE("nobody is sent to an engine that is behind") {
+// An engine had been slow for 2.5 s when it was given another request. It began
+// the request five seconds later, after the caller's deadline and on a version
+// that had been superseded for longer than the bound; the entry was stalled and
+// could not cancel it. The agent learned the engine's delay only from finished
+// answers, and slow answers finish late. Ordering the engine to unload the
+// adapter does not help: a prompt in prefill counts as running.
+TEST_CASE(
+    "no request is admitted to an engine that is overdue with an earlier one") {
   Agent agent;
   const auto give = [&](TimePoint now, std::uint64_t n) {
     ExecuteRequest it = request(n, "a", 4s);
@@ -410,18 +422,18 @@
   give(Now, 1);
   agent.load(Now, "a");
   REQUIRE(agent.take<StartGeneration>().size() == 1);
-  SECTION("which its entry would have told otherwise") {
+  SECTION("its entry is live and reported no beginning") {
     give(Now + 1s, 2);
     REQUIRE(agent.refusal());
     CHECK(agent.refusal()->Reason == RefusalReason::Busy);
     CHECK(agent.refusal()->ComeBack >= 1s);
   }
-  SECTION("but to one that has begun") {
+  SECTION("admitted if the earlier request has begun") {
     agent.Controller.onBegan(Now + 300ms, {.Attempt = {1, 1}});
     give(Now + 1s, 2);
     CHECK(agent.take<StartGeneration>().size() == 1);
   }
-  SECTION("and to one whose entry stands still") {
+  SECTION("admitted if the entry of the earlier request is stalled") {
     constexpr EntryLink Other = 8;
     ExecuteRequest it = request(2, "a", 4s);
     it.Delegated = true;
@@ -434,7 +446,7 @@
 
 namespace {
 
-/// Lets an agent's engine name a limit, with one request that runs.
+/// Starts one request and reports a rate limit of the agent's engine for it.
 void limitEngine(Agent &agent, TimePoint now, RateLimit limit) {
   ExecuteRequest first = request(1000, "a");
   first.Delegated = true;
@@ -444,7 +456,7 @@
   agent.Controller.onRateLimitSeen(now, {first.Attempt, limit});
 }
 
-/// An agent whose engine runs as many requests as are asked for here.
+/// An agent whose engine has a larger batch than these tests fill.
 Agent roomyAgent() {
   return Agent({.Host = HostName("w"),
                 .Incarnation = 1,
@@ -458,7 +470,7 @@
 
 } // namespace
 
-TEST_CASE("an engine's limit paces the permits of all entries") {
+TEST_CASE("the rate limit of an engine paces the permits of all entries") {
   Agent agent = roomyAgent();
   limitEngine(agent, Now, OnePerSecond);
   for (std::uint64_t n = 1; n <= 3; ++n)
@@ -472,8 +484,8 @@
   CHECK(agent.take<StartGeneration>().size() == 2);
 }
 
-TEST_CASE("a request that its engine's limit keeps back for too long goes "
-          "elsewhere at once") {
+TEST_CASE("a request that would wait too long for the rate limit is refused at "
+          "once") {
   Agent agent = roomyAgent();
   limitEngine(agent, Now, OnePerSecond);
   ExecuteRequest bounded = request(1, "a");
@@ -487,7 +499,8 @@
   CHECK(agent.refusal()->ComeBack >= 900ms);
 }
 
-TEST_CASE("a limit that falls turns away what can't wait any more") {
+TEST_CASE("a lower rate limit refuses the waiting requests that can no longer "
+          "be in time") {
   Agent agent = roomyAgent();
   limitEngine(agent, Now, {.Named = true, .PerThousandSeconds = 10000});
   for (std::uint64_t n = 1; n <= 5; ++n)
@@ -499,7 +512,8 @@
   CHECK(agent.refusal()->Reason == RefusalReason::RateLimited);
 }
 
-TEST_CASE("an agent that has started since learns a limit from its entries") {
+TEST_CASE("an agent that started after the limit was named learns it from the "
+          "entries") {
   Agent agent = roomyAgent();
   ExecuteRequest told = request(1, "a");
   told.Limit = {.Named = true, .PerThousandSeconds = 1000, .Age = 7s};
@@ -507,13 +521,13 @@
   agent.load(Now, "a");
   CHECK(agent.take<StartGeneration>().empty());
   CHECK(agent.Controller.rateLimit(Now).Named);
-  // Another process of the engine is there.
+  // A new process of the engine replaces the one that named the limit.
   agent.Controller.onEngineLost(Now + 1s);
   CHECK_FALSE(agent.Controller.rateLimit(Now + 1s).Named);
 }
 
-TEST_CASE("a word on the limit of a request that isn't there is of a former "
-          "process") {
+TEST_CASE("a rate limit reported for an unknown request is ignored as that of "
+          "an earlier process") {
   Agent agent = roomyAgent();
   agent.Controller.onRateLimitSeen(Now, {{1, 999}, OnePerSecond});
   CHECK_FALSE(agent.Controller.rateLimit(Now).Named);
--- a/test/EntryTest.cpp
+++ b/test/EntryTest.cpp
@@ -37,7 +37,7 @@
   std::optional<Duration> Age = Duration::zero();
 };
 
-/// An entry before hosts w1 to w3 that all have a service, too.
+/// An entry with hosts w1 to w3, each of which also serves a plain service.
 struct EntryUnderTest {
   EntryUnderTest() : Controller({.Incarnation = 5}, Configuration, Routing) {
     MemberUpdate update;
@@ -62,7 +62,7 @@
     }
     return result;
   }
-  /// \returns where the next attempt goes.
+  /// \returns the host and the content of the next attempt.
   std::pair<HostName, ExecuteRequest> sent() {
     for (const SendToAgent &it : take<SendToAgent>())
       if (const auto *execute = std::get_if<ExecuteRequest>(&it.Content))
@@ -101,7 +101,8 @@
 
 } // namespace
 
-TEST_CASE("the version that was named goes out, or the highest live one") {
+TEST_CASE("the selected version is used, or the highest live version if none "
+          "is selected") {
   EntryUnderTest entry;
   entry.generate(1);
   CHECK(entry.sent().second.Key.Version == 3);
@@ -111,7 +112,8 @@
   CHECK(entry.final().Reason == RefusalReason::Invalid);
 }
 
-TEST_CASE("who isn't certain of its configuration refuses, truthfully") {
+TEST_CASE(
+    "an entry without a confirmed configuration refuses with a retry-after") {
   EntryUnderTest entry;
   entry.Configuration.Confirmed = false;
   entry.generate(1);
@@ -121,7 +123,8 @@
   CHECK(answer.ComeBack > 0s);
 }
 
-TEST_CASE("a caller's limit holds, and ends with its requests") {
+TEST_CASE("the limit of a caller bounds its requests in progress and frees up "
+          "as they end") {
   EntryUnderTest entry;
   for (RequestKey key = 1; key <= 4; ++key)
     entry.generate(key);
@@ -131,7 +134,8 @@
   CHECK(entry.sent().second.Request == RequestId("r"));
 }
 
-TEST_CASE("all hosts are asked before one has to load") {
+TEST_CASE("every candidate host is asked for the resident adapter before one "
+          "loads it") {
   EntryUnderTest entry;
   entry.generate(1);
   std::set<HostName> asked;
@@ -149,13 +153,13 @@
   CHECK(asked.size() == 3);
   const auto [host, execute] = entry.sent();
   CHECK_FALSE(execute.OnlyIfResident);
-  CHECK(host == HostName("w2")); // Where the least is lost.
+  CHECK(host == HostName("w2")); // The eviction costs least there.
   entry.Controller.onAdmitted(Now, host, {.Attempt = execute.Attempt});
   entry.generate(2);
   CHECK(entry.sent().first == host);
 }
 
-TEST_CASE("a stream that breaks off goes on elsewhere where it stopped") {
+TEST_CASE("an interrupted stream is resumed on another host where it stopped") {
   EntryUnderTest entry;
   entry.generate(1);
   const auto [host, execute] = entry.sent();
@@ -166,7 +170,7 @@
   CHECK(other != host);
   CHECK(again.Resumed == "four ");
   CHECK(again.MaxTokens == 6);
-  // What the first attempt still says reaches nobody.
+  // Late messages of the first attempt are ignored.
   entry.Controller.onChunk(Now, host, {execute.Attempt, 4, 1, "late"});
   entry.Controller.onFinished(Now, host, {.Attempt = execute.Attempt});
   CHECK(entry.take<DeliverChunk>().empty());
@@ -177,7 +181,7 @@
   CHECK(entry.final().Tokens == 10);
 }
 
-TEST_CASE("an answer with a piece missing isn't passed off as whole") {
+TEST_CASE("an answer with a missing part is not delivered as complete") {
   EntryUnderTest entry;
   entry.generate(1);
   const auto [host, execute] = entry.sent();
@@ -188,7 +192,7 @@
   CHECK(entry.sent().second.Attempt != execute.Attempt);
 }
 
-TEST_CASE("another host's word on an attempt counts for nothing") {
+TEST_CASE("messages about an attempt from another host are ignored") {
   EntryUnderTest entry;
   entry.generate(1);
   const auto [host, execute] = entry.sent();
@@ -199,19 +203,20 @@
   CHECK(entry.Finals.empty());
 }
 
-TEST_CASE("an order goes out only when its claim is granted") {
+TEST_CASE("a non-idempotent request is sent only after its claim is granted") {
   EntryUnderTest entry;
   entry.order(1);
   const auto claims = entry.take<ProposeCommand>();
   REQUIRE(claims.size() == 1);
   entry.Controller.onDecision(Now, claims[0].Nonce, CommandOutcome{});
   const auto [host, execute] = entry.sent();
-  // The host vanishes: it may have run, and is not sent again.
+  // The link to the host ends: the request may have run and is not sent again.
   entry.Controller.onLinkLost(Now, host, true);
   CHECK(entry.final().Kind == FinalKind::Unknown);
 }
 
-TEST_CASE("an order whose host never opened its link did not run there") {
+TEST_CASE(
+    "a non-idempotent request did not run on a host whose link never opened") {
   EntryUnderTest entry;
   entry.order(1);
   const auto claims = entry.take<ProposeCommand>();
@@ -221,7 +226,8 @@
   CHECK(entry.sent().first != host);
 }
 
-TEST_CASE("a claim that isn't decided is withdrawn and refused as not run") {
+TEST_CASE(
+    "an undecided claim is withdrawn and its request is refused as not run") {
   EntryUnderTest entry;
   entry.order(1);
   const auto claims = entry.take<ProposeCommand>();
@@ -233,7 +239,8 @@
   CHECK(entry.Finals.at(0).Reason == RefusalReason::NoClaim);
 }
 
-TEST_CASE("a frozen entry that wakes looks at the time before it sends") {
+TEST_CASE("an entry that resumes after a suspension checks the deadline before "
+          "it sends") {
   EntryUnderTest entry;
   entry.order(1);
   const auto claims = entry.take<ProposeCommand>();
@@ -242,7 +249,7 @@
   CHECK(entry.Finals.at(0).Kind == FinalKind::Refused);
 }
 
-TEST_CASE("retries are bounded by the budget") {
+TEST_CASE("retries are bounded by the retry budget") {
   EntryUnderTest entry;
   int attempts = 0;
   for (RequestKey key = 1; key <= 30; ++key) {
@@ -259,10 +266,11 @@
     }
   }
   CHECK(entry.Finals.size() == 30);
-  CHECK(attempts <= 30 + 10 + 6); // One each, the reserve, a fifth.
+  CHECK(attempts <= 30 + 10 + 6); // One each, the reserve, a fifth of 30.
 }
 
-TEST_CASE("a load backlog is final at once: other hosts would say the same") {
+TEST_CASE(
+    "a refusal for the load backlog is final since it holds for all hosts") {
   EntryUnderTest entry;
   entry.generate(1);
   const auto [host, execute] = entry.sent();
@@ -274,7 +282,7 @@
   CHECK(entry.Finals.at(0).ComeBack == 3s);
 }
 
-TEST_CASE("the rendezvous order moves few adapters when a host goes") {
+TEST_CASE("removing a host from the rendezvous order moves few adapters") {
   std::vector<MemberView> members(20);
   for (std::size_t i = 0; i < members.size(); ++i)
     members[i].NameHash = stableHash("w" + std::to_string(i));
--- a/test/PrefixRoutingTest.cpp
+++ b/test/PrefixRoutingTest.cpp
@@ -19,7 +19,7 @@
   return members;
 }
 
-/// Routes one request, host after host, as an entry does.
+/// Routes one request from host to host, as an entry does.
 struct Asking {
   PrefixRouting Routing{PrefixRoutingOptions{}};
   MemberViews Members = engines(10);
@@ -43,7 +43,7 @@
                      wait,
                      holds});
   }
-  /// The host would have to load it.
+  /// The host refuses because it would have to load the adapter.
   void lacks(const Route &route, Duration wait) {
     Tried.push_back(
         {route.Host, RefusalReason::NotResident, {}, true, wait, false});
@@ -52,8 +52,8 @@
 
 } // namespace
 
-TEST_CASE("when all that were asked are busy, the one with the shortest wait "
-          "takes the request") {
+TEST_CASE("when all asked engines are busy the one with the shortest wait gets "
+          "the request") {
   Asking asking;
   std::vector<HostName> asked;
   const Duration waits[] = {1500ms, 1200ms, 900ms, 1100ms};
@@ -70,7 +70,8 @@
   CHECK(last->FirstEventWithin == Duration::zero());
 }
 
-TEST_CASE("limits are parts of the time until the first event has to come") {
+TEST_CASE(
+    "the wait limits are shares of the time until the first event is due") {
   Asking asking;
   const Route usual = *asking.next();
   CHECK(usual.FirstEventWithin == 700ms);
@@ -80,7 +81,7 @@
   CHECK(asking.next()->FirstEventWithin == 450ms);
 }
 
-TEST_CASE("a host that is out for another reason isn't asked again") {
+TEST_CASE("a host that refused for another reason is not asked again") {
   Asking asking;
   for (int i = 0; i < 10; ++i) {
     const auto route = asking.next();
@@ -97,16 +98,17 @@
     CHECK(one.next(prefix)->Host == other.next(prefix)->Host);
 }
 
-// The weight store is crowded and a load takes 400 of the 500 ms that a first
-// event has: engines that don't have the adapter can't be sooner, and each that
-// is made to load it makes the store's queue longer. On one day 298 of 716
-// loads were further copies.
-TEST_CASE("an adapter that nobody has is loaded at its own engine") {
+// The weight store is congested, and a load takes 400 ms of the 500 ms until
+// the first event is due. Engines without the adapter cannot be faster, and
+// each further load lengthens the queue of the store: 298 of 716 loads in one
+// run were further copies.
+TEST_CASE(
+    "an adapter that no engine has is loaded on the adapter's own engine") {
   Asking asking;
   asking.Target = 500ms;
   const Route own = *asking.next();
   CHECK_FALSE(own.OnlyIfResident);
-  SECTION("on time") {
+  SECTION("its own engine would be on time") {
     asking.isBusy(own, 400ms);
     for (int i = 0; i < 3; ++i) {
       const Route route = *asking.next();
@@ -114,7 +116,7 @@
       asking.lacks(route, 400ms);
     }
   }
-  SECTION("late, and little sooner elsewhere") {
+  SECTION("its own engine would be late and the others little faster") {
     asking.isBusy(own, 900ms);
     for (int i = 0; i < 3; ++i)
       asking.lacks(*asking.next(), 700ms);
@@ -124,7 +126,7 @@
   CHECK_FALSE(last.OnlyIfResident);
 }
 
-TEST_CASE("an engine with room loads what its own one is too busy for") {
+TEST_CASE("an idle engine loads an adapter when its own engine is too busy") {
   Asking asking;
   asking.Target = 500ms;
   asking.isBusy(*asking.next(), 2s, /*holds=*/true);
@@ -135,7 +137,8 @@
   CHECK(asking.next()->Host == first.Host);
 }
 
-TEST_CASE("when all are late, one that has the adapter goes before a copy") {
+TEST_CASE("when all engines would be late one that has the adapter is "
+          "preferred to a further copy") {
   Asking asking;
   asking.Target = 500ms;
   asking.isBusy(*asking.next(), 2s);
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the host's routes wins") {
+TEST_CASE("the route of the host with the longest matching prefix is chosen") {
   const RoutingTable table(1, document());
   CHECK(found(table, "a.example", "/x/y/z") == "long");
   CHECK(found(table, "a.example", "/x/y") == "short");
@@ -50,7 +50,7 @@
   CHECK(found(table, "", "") == "-");
 }
 
-TEST_CASE("services are chosen by the weights of the split") {
+TEST_CASE("services are chosen in proportion to the weights of the split") {
   RouteSpec split = route("r", "h", "/");
   split.Split = {{ServiceName("none"), 0},
                  {ServiceName("most"), 90},
@@ -66,7 +66,7 @@
   CHECK(few == 100);
 }
 
-TEST_CASE("all faults of a document are found, with their places") {
+TEST_CASE("all errors in a document are reported with their locations") {
   CHECK(faultsOf(document()).empty());
   RoutingDocument bad = document();
   bad.Routes[0].Split = {{ServiceName("missing"), 1}};
@@ -82,7 +82,8 @@
   CHECK(faults.find("/routes/3/prefix: another route") != std::string::npos);
 }
 
-TEST_CASE("events are given out whole, in any pieces, each once") {
+TEST_CASE(
+    "every event is passed on once and complete, however the bytes are split") {
   const std::string bytes =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: half";
   for (std::size_t step = 1; step <= bytes.size(); ++step) {
@@ -93,14 +94,15 @@
     CHECK(out == "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n");
     CHECK(stream.partial() == "id: 3\ndata: half");
     CHECK(stream.last() == 2U);
-    // Another server goes on, from an event that the caller has.
+    // Another server resumes the stream from an event that the caller already
+    // has.
     stream.restart();
     CHECK(stream.take("id: 2\ndata: b\n\nid: 3\ndata: c\n\n") ==
           "id: 3\ndata: c\n\n");
   }
 }
 
-TEST_CASE("a packed text comes back, damage doesn't") {
+TEST_CASE("a packed text is restored and damaged data is rejected") {
   std::string text;
   for (int i = 0; i < 1000; ++i)
     text += "{\"route\": " + std::to_string(i) + "}";
