--- a/test/AgentTest.cpp
+++ b/test/AgentTest.cpp
@@ -207,8 +207,7 @@
   agent.Controller.tick(Now + 100ms);
   CHECK(agent.take<StartGeneration>().size() == 1);
   agent.Controller.onExecute(Now + 1s, Entry, request(2, "a", 10s));
-  CHECK(agent.take<StartGeneration>().size() ==
-        1); // The engine runs steps already.
+  CHECK(agent.take<StartGeneration>().size() == 1); // Steps already run.
   for (std::uint64_t n : {1, 2})
     agent.Controller.onWorkEnded(Now + 1s, {1, n}, AttemptEnding::Answered, "");
   // The wait never exceeds the limit, even with a long window.
@@ -265,8 +264,8 @@
   CHECK(agent.board().LoadsUnderWay == 1);
   agent.onLoadEnded(Now + 2200ms, {AdapterName("a"), 1}, true, 100ms);
   agent.onExecute(Now + 2200ms, Entry, request(2, "b", 60s));
-  agent.tick(Now +
-             4s); // Eight agents share four loads per second: one each in 2 s.
+  // Eight agents share four loads per second: one each in 2 s.
+  agent.tick(Now + 4s);
   CHECK(agent.board().LoadsUnderWay == 0);
   agent.tick(Now + 4300ms);
   CHECK(agent.board().LoadsUnderWay == 1);
