--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 /// Reported eviction cost when there is no slot to evict.
-constexpr double MostVictimValue = 1e6;
+constexpr double MaxVictimValue = 1e6;
 
 /// Adds jitter to a retry-after, so that refused callers do not return at the
 /// same time.
-Duration spread(Random &random, Duration d) {
+Duration withJitter(Random &random, Duration d) {
   constexpr Duration Shortest = std::chrono::milliseconds(50);
   return random.jitter(std::max(d, Shortest));
 }
@@ -29,9 +29,9 @@
 
 bool AdmissionController::exceedsRateLimit(TimePoint now, std::size_t ahead,
                                            Duration remaining) const {
-  const Duration most =
+  const Duration longest =
       fromSeconds(toSeconds(remaining) * Board.Options.StallShare);
-  return Board.Pacer.wait(now, ahead) > most;
+  return Board.Pacer.wait(now, ahead) > longest;
 }
 
 void AdmissionController::refuseBeyondRateLimit(TimePoint now) {
@@ -51,7 +51,7 @@
       ++ahead;
   }
   for (const auto &[entry, attempt] : refused) {
-    forget(attempt);
+    removeWaiting(attempt);
     refuse(entry, attempt,
            {RefusalReason::RateLimited, Board.Pacer.wait(now, ahead)},
            figures(now));
@@ -60,7 +60,7 @@
 
 LoadFigures AdmissionController::figures(TimePoint now) const {
   // Without a slot to evict, a load would have to wait for one.
-  double victim = Board.Slots.hasEmpty() ? 0 : MostVictimValue;
+  double victim = Board.Slots.hasEmpty() ? 0 : MaxVictimValue;
   for (const Slot &it : Board.Slots.all())
     if (mayEvict(it, Board.Waiting))
       victim = std::min(victim, Board.Popularity.valueOf(now, it.Key));
@@ -70,12 +70,12 @@
           .BatchCapacity = Board.BatchCapacity,
           .LoadWait = loadBacklog(now),
           .VictimValue = static_cast<std::uint32_t>(victim * Thousand),
-          .PrefillWait = Board.Prefill.wait(now) + lag(now) +
+          .PrefillWait = Board.Prefill.wait(now) + engineDelay(now) +
                          Board.Pacer.wait(now, Board.WaitingCount)};
 }
 
-AdmissionController::Verdict
-AdmissionController::judgeService(const ExecuteRequest &request) const {
+AdmissionController::Decision
+AdmissionController::evaluateService(const ExecuteRequest &request) const {
   const auto &services = Board.Options.Services;
   if (std::ranges::find(services, request.Service) == services.end())
     return {RefusalReason::NoSuchBackend};
@@ -84,9 +84,9 @@
   return {};
 }
 
-AdmissionController::Verdict
-AdmissionController::judgeResident(TimePoint now,
-                                   const ExecuteRequest &request) const {
+AdmissionController::Decision
+AdmissionController::evaluateResident(TimePoint now,
+                                      const ExecuteRequest &request) const {
   const Duration wait = queueWait(now);
   if (request.OnlyIfResident && wait > Board.Options.SpillDelay)
     return {RefusalReason::QueueFull, wait};
@@ -98,12 +98,11 @@
   return {};
 }
 
-AdmissionController::Verdict
-AdmissionController::judgeMissing(TimePoint now, const ExecuteRequest &request,
-                                  Duration firstEvent) const {
-  const auto aside = Board.SetAside.find(request.Key);
-  if (aside != Board.SetAside.end() && aside->second.Until > now)
-    return {RefusalReason::LoadFailed, aside->second.Until - now};
+AdmissionController::Decision AdmissionController::evaluateMissing(
+    TimePoint now, const ExecuteRequest &request, Duration firstEvent) const {
+  const auto failed = Board.SetAside.find(request.Key);
+  if (failed != Board.SetAside.end() && failed->second.Until > now)
+    return {RefusalReason::LoadFailed, failed->second.Until - now};
   const bool demanded = Board.Waiting.contains(request.Key);
   if (demanded)
     return {};
@@ -176,28 +175,30 @@
                             : std::max(queueWait(now), slotWait(key));
   return ends + (ready ? Duration::zero() : Board.LoadTimes.expected(key)) +
          Board.Prefill.wait(now) + Board.Prefill.reading(key, request.Parts) +
-         lag(now);
+         engineDelay(now);
 }
 
-Duration AdmissionController::lag(TimePoint now) const {
-  Duration most = Duration::zero();
+Duration AdmissionController::engineDelay(TimePoint now) const {
+  Duration longest = Duration::zero();
   for (const auto &[attempt, it] : Board.Running) {
     if (!it.Delegated || it.BegunAt)
       continue;
     // A stalled entry does not report that its requests have begun.
-    const auto heard = Board.HeardOf.find(it.Entry);
-    if (heard != Board.HeardOf.end())
-      most = std::max(most, std::min(now, heard->second) - it.ExpectedAt);
+    const auto lastMessage = Board.HeardOf.find(it.Entry);
+    if (lastMessage != Board.HeardOf.end())
+      longest =
+          std::max(longest, std::min(now, lastMessage->second) - it.ExpectedAt);
   }
-  return most;
+  return longest;
 }
 
-AdmissionController::Verdict
-AdmissionController::judge(TimePoint now, const ExecuteRequest &request) const {
+AdmissionController::Decision
+AdmissionController::evaluate(TimePoint now,
+                              const ExecuteRequest &request) const {
   if (Board.Leaving)
     return {RefusalReason::Leaving};
   if (!request.Service.empty())
-    return judgeService(request);
+    return evaluateService(request);
   if (!Board.EngineReady)
     return {RefusalReason::BackendDown, Board.LoadTimes.fromStore()};
   if (request.BaseModel != Board.Options.BaseModel)
@@ -213,34 +214,36 @@
   if (exceedsRateLimit(now, Board.WaitingCount, request.Remaining))
     return {RefusalReason::RateLimited,
             Board.Pacer.wait(now, Board.WaitingCount)};
-  return holds ? judgeResident(now, request) : judgeMissing(now, request, wait);
+  return holds ? evaluateResident(now, request)
+               : evaluateMissing(now, request, wait);
 }
 
 void AdmissionController::refuse(EntryLink entry, const AttemptId &attempt,
-                                 Verdict verdict, const LoadFigures &figures) {
+                                 Decision decision,
+                                 const LoadFigures &figures) {
   // An entry compares these waits between hosts, so they get no jitter.
-  const Duration comeBack = onlyAskedAround(verdict.Reason)
-                                ? verdict.ComeBack
-                                : spread(Board.Jitter, verdict.ComeBack);
+  const Duration comeBack = onlyAskedAround(decision.Reason)
+                                ? decision.ComeBack
+                                : withJitter(Board.Jitter, decision.ComeBack);
   Board.Commands.push_back(SendToEntry{entry, AttemptRefused{
                                                   .Attempt = attempt,
-                                                  .Reason = verdict.Reason,
+                                                  .Reason = decision.Reason,
                                                   .ComeBack = comeBack,
                                                   .Load = figures,
-                                                  .Holds = verdict.Holds,
+                                                  .Holds = decision.Holds,
                                               }});
 }
 
 void AdmissionController::onExecute(TimePoint now, EntryLink entry,
                                     const ExecuteRequest &request) {
-  const Verdict verdict = judge(now, request);
+  const Decision decision = evaluate(now, request);
   const bool toEngine = request.Service.empty();
   // A probe that is refused with `Busy` or `NotResident` is not yet demand for
   // this host.
-  if (toEngine && !onlyAskedAround(verdict.Reason))
+  if (toEngine && !onlyAskedAround(decision.Reason))
     Board.Popularity.noteRequest(now, request.Key);
-  if (verdict.Reason != RefusalReason::None)
-    return refuse(entry, request.Attempt, verdict, figures(now));
+  if (decision.Reason != RefusalReason::None)
+    return refuse(entry, request.Attempt, decision, figures(now));
   const TimePoint deadline = now + request.Remaining;
   if (toEngine) {
     const bool ready = Board.Slots.isReady(request.Key);
@@ -268,9 +271,9 @@
     Board.Commands.push_back(StartServiceCall{request});
 }
 
-void AdmissionController::refuseHopeless(TimePoint now) {
+void AdmissionController::refuseInfeasible(TimePoint now) {
   refuseBeyondRateLimit(now);
-  std::optional<LoadFigures> shared;
+  std::optional<LoadFigures> currentFigures;
   for (auto it = Board.Waiting.begin(); it != Board.Waiting.end();) {
     auto &[key, queue] = *it;
     const bool ready = Board.Slots.isReady(key);
@@ -283,10 +286,11 @@
     std::erase_if(queue, [&](const WaitingAttempt &attempt) {
       if (now + load <= attempt.Deadline)
         return false;
-      if (!shared)
-        shared = figures(now);
+      if (!currentFigures)
+        currentFigures = figures(now);
       const Duration wait = ready ? queueWait(now) : loadBacklog(now);
-      refuse(attempt.Entry, attempt.Request.Attempt, {reason, wait}, *shared);
+      refuse(attempt.Entry, attempt.Request.Attempt, {reason, wait},
+             *currentFigures);
       --Board.WaitingCount;
       return true;
     });
@@ -312,7 +316,7 @@
     refuseWaiting(AdapterKey(Board.Waiting.begin()->first), reason, comeBack);
 }
 
-bool AdmissionController::forget(const AttemptId &attempt) {
+bool AdmissionController::removeWaiting(const AttemptId &attempt) {
   for (auto it = Board.Waiting.begin(); it != Board.Waiting.end(); ++it) {
     const auto erased = std::erase_if(it->second, [&](const auto &waiting) {
       return waiting.Request.Attempt == attempt;
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.h
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.h
@@ -15,7 +15,7 @@
 
   void onExecute(TimePoint now, EntryLink entry, const ExecuteRequest &request);
   /// Refuses waiting requests whose answer can no longer come in time.
-  void refuseHopeless(TimePoint now);
+  void refuseInfeasible(TimePoint now);
   /// The load of \p key will end after \p wait. Refuses the requests for which
   /// that is too late, except delegated ones: their entry decides how long they
   /// may take.
@@ -27,24 +27,24 @@
   void refuseAllWaiting(RefusalReason reason, Duration comeBack);
   /// Removes a waiting attempt that was cancelled or whose entry is gone.
   /// \returns whether it was waiting.
-  bool forget(const AttemptId &attempt);
+  bool removeWaiting(const AttemptId &attempt);
 
   /// \returns the load figures that are sent with answers.
   LoadFigures figures(TimePoint now) const;
 
 private:
-  struct Verdict {
+  struct Decision {
     RefusalReason Reason = RefusalReason::None;
     Duration ComeBack = Duration::zero();
     /// The adapter is resident or being loaded.
     bool Holds = false;
   };
-  Verdict judge(TimePoint now, const ExecuteRequest &request) const;
-  Verdict judgeService(const ExecuteRequest &request) const;
-  Verdict judgeResident(TimePoint now, const ExecuteRequest &request) const;
+  Decision evaluate(TimePoint now, const ExecuteRequest &request) const;
+  Decision evaluateService(const ExecuteRequest &request) const;
+  Decision evaluateResident(TimePoint now, const ExecuteRequest &request) const;
   /// \param firstEvent expected time until the first event.
-  Verdict judgeMissing(TimePoint now, const ExecuteRequest &request,
-                       Duration firstEvent) const;
+  Decision evaluateMissing(TimePoint now, const ExecuteRequest &request,
+                           Duration firstEvent) const;
   Duration queueWait(TimePoint now) const;
   /// \returns whether a request with \p ahead others before it and \p remaining
   /// time would wait too long for the engine's rate limit.
@@ -64,10 +64,10 @@
   /// that hasn't begun is overdue. A request counts only up to the last message
   /// of its entry, since a stalled entry reports no beginning. Shows at once
   /// that an engine has turned slow, or hangs.
-  Duration lag(TimePoint now) const;
+  Duration engineDelay(TimePoint now) const;
   /// \returns the estimated wait of a new load.
   Duration loadBacklog(TimePoint now) const;
-  void refuse(EntryLink entry, const AttemptId &attempt, Verdict verdict,
+  void refuse(EntryLink entry, const AttemptId &attempt, Decision decision,
               const LoadFigures &figures);
 
   AgentBoard &Board;
--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -167,7 +167,7 @@
   AgentBoard(const AgentOptions &options, const EvictionPolicy &eviction)
       : Options(options), Eviction(eviction), Slots(options.Slots),
         BatchCapacity(options.BatchCapacity), Popularity(options.Popularity),
-        Jitter(options.Incarnation), LoadTimes({.Store = options.LoadTime}),
+        Jitter(options.Incarnation), LoadTimes({.StoreTime = options.LoadTime}),
         ServiceTime(options.ServiceTime) {}
 
   const AgentOptions Options;
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -27,7 +27,7 @@
 }
 
 void AgentController::onCancel(TimePoint now, const AttemptId &attempt) {
-  if (Admission.forget(attempt))
+  if (Admission.removeWaiting(attempt))
     return decide(now);
   // The slot stays pinned until the engine reports that it has stopped.
   if (Board.Running.contains(attempt))
@@ -42,7 +42,7 @@
       if (it.Entry == entry)
         waiting.push_back(it.Request.Attempt);
   for (const AttemptId &it : waiting)
-    Admission.forget(it);
+    Admission.removeWaiting(it);
   for (const auto &[attempt, running] : Board.Running)
     // Calls of plain services may be non-idempotent and run to their end: a
     // call that stops halfway is of no use.
@@ -82,7 +82,7 @@
   const RunningAttempt running = it->second;
   endAttempt(now, attempt, running);
   if (!running.IsService && ending == AttemptEnding::Answered)
-    noteServiceTime(now - running.StartedAt);
+    recordServiceTime(now - running.StartedAt);
   Board.Commands.push_back(
       SendToEntry{running.Entry, AttemptFinished{
                                      .Attempt = attempt,
@@ -115,15 +115,15 @@
 
 void AgentController::applyRateLimit(TimePoint now, const RateLimit &limit) {
   if (Board.Pacer.apply(now, limit))
-    Admission.refuseHopeless(now);
+    Admission.refuseInfeasible(now);
 }
 
 void AgentController::applyColdStart(TimePoint now, const ColdStart &cold) {
   if (Board.Pacer.applyCold(now, cold))
-    Admission.refuseHopeless(now);
+    Admission.refuseInfeasible(now);
 }
 
-void AgentController::presumeCold(TimePoint now) {
+void AgentController::applyProfileColdStart(TimePoint now) {
   if (!Board.EngineStartedAt)
     return;
   ColdStart cold = Board.Cold;
@@ -135,19 +135,19 @@
                                  const AttemptReleased &message) {
   const auto it = Board.Running.find(message.Attempt);
   if (it == Board.Running.end()) {
-    Admission.forget(message.Attempt);
+    Admission.removeWaiting(message.Attempt);
     return decide(now);
   }
   const RunningAttempt running = it->second;
   if (message.Kind == ReleaseKind::Answered)
-    noteServiceTime(now - running.StartedAt);
+    recordServiceTime(now - running.StartedAt);
   if (running.ReadAlone && !running.BegunAt)
     Board.Prefill.learn(running.PromptTokens, message.FirstEvent);
   endAttempt(now, message.Attempt, running);
   decide(now);
 }
 
-void AgentController::noteServiceTime(Duration took) {
+void AgentController::recordServiceTime(Duration took) {
   constexpr int SmoothingShare = 16;
   Board.ServiceTime += (took - Board.ServiceTime) / SmoothingShare;
 }
@@ -157,7 +157,7 @@
   Board.BatchCapacity = std::max(profile.BatchCapacity, 1U);
   Board.Prefill.setCacheTokens(profile.CacheTokens);
   Board.Cold = profile.Cold;
-  presumeCold(now);
+  applyProfileColdStart(now);
   decide(now);
 }
 
@@ -215,7 +215,7 @@
     Board.LoadTimes.onHeld(it);
   if (Board.EngineIsOurs) {
     Board.EngineStartedAt = now;
-    presumeCold(now);
+    applyProfileColdStart(now);
   }
   Board.EngineReady = true;
   Board.EngineIsOurs = true;
@@ -223,7 +223,7 @@
   decide(now);
 }
 
-void AgentController::breakOff(TimePoint now, bool services) {
+void AgentController::abortRunning(TimePoint now, bool services) {
   std::vector<AttemptId> attempts;
   for (const auto &[attempt, running] : Board.Running)
     if (running.IsService == services)
@@ -243,7 +243,7 @@
   Board.Pacer.reset();
   Board.Prefill.clear(now);
   Board.LoadTimes.clear();
-  breakOff(now, /*services=*/false);
+  abortRunning(now, /*services=*/false);
   for (const Slot &it : std::vector<Slot>(Board.Slots.all()))
     if (it.State == SlotState::Loading)
       Gate.onLoadEnded(now, Board, it.Key, Duration::zero());
@@ -288,11 +288,11 @@
 }
 
 void AgentController::tick(TimePoint now) {
-  Admission.refuseHopeless(now);
+  Admission.refuseInfeasible(now);
   releaseOverdue(now);
   std::erase_if(Board.SetAside, [&](const auto &it) {
-    constexpr Duration Remembered = std::chrono::minutes(10);
-    return it.second.Until + Remembered < now;
+    constexpr Duration RetentionPeriod = std::chrono::minutes(10);
+    return it.second.Until + RetentionPeriod < now;
   });
   decide(now);
 }
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -90,14 +90,14 @@
   /// Applies the cold-start limits of the profile to an engine that started
   /// while this agent ran, since no entry may have reported yet that it is
   /// cold.
-  void presumeCold(TimePoint now);
+  void applyProfileColdStart(TimePoint now);
   /// Releases the slots of delegated requests that must have ended by now.
   void releaseOverdue(TimePoint now);
   void decide(TimePoint now);
   void endAttempt(TimePoint now, const AttemptId &attempt,
                   const RunningAttempt &running);
-  void breakOff(TimePoint now, bool services);
-  void noteServiceTime(Duration took);
+  void abortRunning(TimePoint now, bool services);
+  void recordServiceTime(Duration took);
 
   AgentBoard Board;
   LoadGate &Gate;
--- a/packages/serving/pimentofront/src/Serving/DispatchController.cpp
+++ b/packages/serving/pimentofront/src/Serving/DispatchController.cpp
@@ -4,8 +4,8 @@
 
 namespace pimentofront {
 
-bool DispatchController::goesBefore(const Candidate &a,
-                                    const Candidate &b) const {
+bool DispatchController::precedes(const Candidate &a,
+                                  const Candidate &b) const {
   if (a.Pass != b.Pass)
     return a.Pass < b.Pass;
   return a.Attempt->Deadline < b.Attempt->Deadline;
@@ -25,21 +25,21 @@
                          .Pass = pass == Passes.end()
                                      ? CurrentPass
                                      : std::max(pass->second, CurrentPass)};
-      if (!best || goesBefore(it, *best))
+      if (!best || precedes(it, *best))
         best = it;
     }
   }
   return best;
 }
 
-bool DispatchController::waitsForCompany(TimePoint now) const {
+bool DispatchController::waitsForBatch(TimePoint now) const {
   if (Board.Options.CompanyShare <= 0 || Board.runningOnEngine() > 0)
     return false;
-  std::size_t together = 0;
+  std::size_t batchable = 0;
   for (const auto &[key, queue] : Board.Waiting) {
     if (!Board.Slots.isReady(key))
       continue;
-    together += queue.size();
+    batchable += queue.size();
     for (const WaitingAttempt &it : queue) {
       const Duration share = fromSeconds(toSeconds(it.Deadline - it.ArrivedAt) *
                                          Board.Options.CompanyShare);
@@ -48,11 +48,11 @@
         return false;
     }
   }
-  return together < Board.Options.CompanyWanted;
+  return batchable < Board.Options.CompanyWanted;
 }
 
 void DispatchController::run(TimePoint now) {
-  if (!Board.EngineReady || waitsForCompany(now))
+  if (!Board.EngineReady || waitsForBatch(now))
     return;
   while (Board.runningOnEngine() < Board.BatchCapacity) {
     const std::optional<Candidate> next = choose();
--- a/packages/serving/pimentofront/src/Serving/DispatchController.h
+++ b/packages/serving/pimentofront/src/Serving/DispatchController.h
@@ -26,8 +26,8 @@
   };
   std::optional<Candidate> choose() const;
   /// \returns whether an idle engine should wait for more requests to batch.
-  bool waitsForCompany(TimePoint now) const;
-  bool goesBefore(const Candidate &a, const Candidate &b) const;
+  bool waitsForBatch(TimePoint now) const;
+  bool precedes(const Candidate &a, const Candidate &b) const;
   void start(TimePoint now, const Candidate &candidate);
 
   AgentBoard &Board;
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -7,7 +7,7 @@
 
 /// How long the ending of a claim is proposed again before the claim is left to
 /// expire in the ledger.
-constexpr Duration EndingLifetime = std::chrono::minutes(2);
+constexpr Duration EndingProposalTimeout = std::chrono::minutes(2);
 
 std::uint64_t contentHash(const CallerRequest &request) {
   const std::uint64_t seed = stableHash(request.Service.str());
@@ -82,7 +82,7 @@
 }
 
 void EntryController::onRequest(TimePoint now, CallerRequest caller) {
-  constexpr Duration Soon = std::chrono::milliseconds(200);
+  constexpr Duration ShortRetryAfter = std::chrono::milliseconds(200);
   if (Board.Stopping)
     return refuseNew(caller, RefusalReason::Stopping, Duration::zero(),
                      "this process is stopping");
@@ -91,7 +91,7 @@
                      Board.Options.IsolatedComeBack,
                      "the configuration in force isn't known for certain");
   if (Board.Requests.size() >= Board.Options.MaxRequests)
-    return refuseNew(caller, RefusalReason::QueueFull, Soon,
+    return refuseNew(caller, RefusalReason::QueueFull, ShortRetryAfter,
                      "too many requests in progress");
   const KindRecord *kind = Board.Configuration.findKind(caller.Kind);
   if (!kind)
@@ -106,7 +106,7 @@
   const RefusalReason limited =
       Board.Limits.enter(*kind, request.Caller.Caller);
   if (limited != RefusalReason::None)
-    return refuseNew(request.Caller, limited, Soon, "limit reached");
+    return refuseNew(request.Caller, limited, ShortRetryAfter, "limit reached");
   const Duration timeout = request.Caller.Timeout;
   request.Deadline =
       now + (timeout > Duration::zero() ? std::min(timeout, kind->Window)
@@ -147,12 +147,12 @@
     return;
   EntryRequest &request = Board.Requests.at(it->second);
   Board.Claims.erase(it);
-  constexpr Duration Later = std::chrono::seconds(1);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
   if (!outcome)
     // No attempt was sent; finish() withdraws the claim in case it was granted.
     return finish(request, {.Kind = FinalKind::Refused,
                             .Reason = RefusalReason::NoClaim,
-                            .ComeBack = Board.Jitter.jitter(Later),
+                            .ComeBack = Board.Jitter.jitter(LongRetryAfter),
                             .Payload = "the claim couldn't be committed"});
   if (outcome->Result == CommandResult::Accepted) {
     request.ClaimHeld = true;
@@ -167,7 +167,7 @@
                   {.Kind = FinalKind::Answered, .Payload = outcome->Answer});
   if (outcome->Result == CommandResult::InProgress)
     return finish(request, {.Kind = FinalKind::Unknown,
-                            .ComeBack = Board.Jitter.jitter(Later),
+                            .ComeBack = Board.Jitter.jitter(LongRetryAfter),
                             .Payload = "an earlier attempt is in progress"});
   if (outcome->Result == CommandResult::AlreadyUnknown)
     return finish(request, unknown("an earlier attempt may have run"));
@@ -191,7 +191,7 @@
       request.Caller.Service.empty() ? Routing : ServiceRouting;
   const std::optional<Route> route = routing.choose(now, query, Board.Members);
   if (!route)
-    return noMoreRoutes(request);
+    return finishUnroutable(request);
   send(now, request, *route);
 }
 
@@ -231,12 +231,12 @@
                                  .OnlyIfResident = route.OnlyIfResident}});
 }
 
-void EntryController::noMoreRoutes(EntryRequest &request) {
+void EntryController::finishUnroutable(EntryRequest &request) {
   FinalAnswer answer{.Kind = FinalKind::Refused,
                      .Reason = RefusalReason::NoBackend,
                      .Payload = "no backend server can take it"};
-  constexpr Duration Later = std::chrono::seconds(1);
-  answer.ComeBack = Board.Jitter.jitter(Later);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
+  answer.ComeBack = Board.Jitter.jitter(LongRetryAfter);
   if (!request.Tried.empty())
     answer.Reason = request.Tried.back().Reason;
   if (request.MayHaveRun)
@@ -345,9 +345,9 @@
   if (!request)
     return;
   noteLoad(host, message.Load);
-  const bool whole = message.Ending == AttemptEnding::Answered &&
-                     message.Tokens == request->Attempt->Tokens;
-  if (!whole)
+  const bool complete = message.Ending == AttemptEnding::Answered &&
+                        message.Tokens == request->Attempt->Tokens;
+  if (!complete)
     return attemptLost(now, *request,
                        message.Payload.empty() ? "the answer broke off"
                                                : message.Payload);
@@ -378,10 +378,10 @@
                             .Tokens = request.DeliveredTokens});
   if (takeRetry(request))
     return nextAttempt(now, request);
-  constexpr Duration Later = std::chrono::seconds(1);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
   finish(request, {.Kind = FinalKind::Failed,
                    .Reason = RefusalReason::BackendDown,
-                   .ComeBack = Board.Jitter.jitter(Later),
+                   .ComeBack = Board.Jitter.jitter(LongRetryAfter),
                    .Payload = why});
 }
 
@@ -501,7 +501,7 @@
                           .Ending = ending,
                           .Answer = answered ? answer.Payload : std::string(),
                       }},
-      .GiveUpAt = request.Deadline + EndingLifetime});
+      .GiveUpAt = request.Deadline + EndingProposalTimeout});
 }
 
 void EntryController::finish(EntryRequest &request, FinalAnswer answer) {
@@ -522,8 +522,8 @@
   const bool sent = request.Attempt.has_value();
   FinalAnswer answer{.Kind = FinalKind::TimedOut,
                      .Payload = "no answer within the time given"};
-  constexpr Duration Later = std::chrono::seconds(1);
-  answer.ComeBack = Board.Jitter.jitter(Later);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
+  answer.ComeBack = Board.Jitter.jitter(LongRetryAfter);
   if (!request.Caller.Idempotent && (sent || request.MayHaveRun))
     answer = unknown("no answer within the time given");
   else if (!sent && !request.MayHaveRun)
@@ -550,10 +550,10 @@
 void EntryController::tick(TimePoint now) {
   std::vector<RequestKey> keys;
   for (const auto &[key, request] : Board.Requests) {
-    const bool unheard =
+    const bool notAdmitted =
         request.Attempt && !request.Attempt->Admitted &&
         now - request.Attempt->SentAt > Board.Options.AdmitTimeout;
-    if (now >= request.Deadline || (unheard && request.Caller.Idempotent))
+    if (now >= request.Deadline || (notAdmitted && request.Caller.Idempotent))
       keys.push_back(key);
   }
   std::ranges::sort(keys);
--- a/packages/serving/pimentofront/src/Serving/EntryController.h
+++ b/packages/serving/pimentofront/src/Serving/EntryController.h
@@ -60,7 +60,7 @@
   void claim(TimePoint now, EntryRequest &request);
   void nextAttempt(TimePoint now, EntryRequest &request);
   void send(TimePoint now, EntryRequest &request, const Route &route);
-  void noMoreRoutes(EntryRequest &request);
+  void finishUnroutable(EntryRequest &request);
   /// \returns the request whose current attempt this is; null for a late
   /// answer.
   EntryRequest *find(const AttemptId &attempt, const HostName &host);
--- a/packages/serving/pimentofront/src/Serving/LoadTimeModel.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadTimeModel.cpp
@@ -4,16 +4,16 @@
 
 namespace pimentofront {
 
-std::size_t LoadTimeModel::placeOf(const AdapterKey &key) const {
-  const std::list<AdapterKey>::const_iterator it = Places.at(key);
-  return static_cast<std::size_t>(std::distance(Held.begin(), it));
+std::size_t LoadTimeModel::positionOf(const AdapterKey &key) const {
+  const std::list<AdapterKey>::const_iterator it = Positions.at(key);
+  return static_cast<std::size_t>(std::distance(RecentlyHeld.begin(), it));
 }
 
 bool LoadTimeModel::hasCopy(const AdapterKey &key) const {
   // Determining the position takes linear time, and it matters only after an
   // expected copy was missing.
-  return Places.contains(key) &&
-         (Depth >= Options.Capacity || placeOf(key) < Depth);
+  return Positions.contains(key) &&
+         (CopyCount >= Options.Capacity || positionOf(key) < CopyCount);
 }
 
 void LoadTimeModel::learn(Duration &mean, Duration took) const {
@@ -21,28 +21,29 @@
 }
 
 void LoadTimeModel::onLoaded(const AdapterKey &key, Duration took) {
-  const bool fromStore = toSeconds(took) > Options.StorePart * toSeconds(Store);
+  const bool fromStore =
+      toSeconds(took) > Options.StoreTimeThreshold * toSeconds(StoreTime);
   if (hasCopy(key) && fromStore)
-    Depth = std::max<std::size_t>(placeOf(key), 1);
-  const bool wasHeld = Places.contains(key);
-  learn(wasHeld && !fromStore ? Copy : Store, took);
+    CopyCount = std::max<std::size_t>(positionOf(key), 1);
+  const bool wasHeld = Positions.contains(key);
+  learn(wasHeld && !fromStore ? CopyTime : StoreTime, took);
   onHeld(key);
 }
 
 void LoadTimeModel::onHeld(const AdapterKey &key) {
-  if (const auto it = Places.find(key); it != Places.end())
-    return Held.splice(Held.begin(), Held, it->second);
-  Held.push_front(key);
-  Places.emplace(key, Held.begin());
-  if (Held.size() <= Options.Capacity)
+  if (const auto it = Positions.find(key); it != Positions.end())
+    return RecentlyHeld.splice(RecentlyHeld.begin(), RecentlyHeld, it->second);
+  RecentlyHeld.push_front(key);
+  Positions.emplace(key, RecentlyHeld.begin());
+  if (RecentlyHeld.size() <= Options.Capacity)
     return;
-  Places.erase(Held.back());
-  Held.pop_back();
+  Positions.erase(RecentlyHeld.back());
+  RecentlyHeld.pop_back();
 }
 
 void LoadTimeModel::clear() {
-  Held.clear();
-  Places.clear();
+  RecentlyHeld.clear();
+  Positions.clear();
 }
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/LoadTimeModel.h
+++ b/packages/serving/pimentofront/src/Serving/LoadTimeModel.h
@@ -13,13 +13,13 @@
 struct LoadTimeModelOptions {
   /// Estimated time of a load from the weight store, until one has been
   /// measured.
-  Duration Store = std::chrono::milliseconds(250);
+  Duration StoreTime = std::chrono::milliseconds(250);
   /// Estimated time of a load from a local copy, relative to a load from the
   /// store, until one has been measured.
-  double CopyPart = 0.25;
+  double CopyTimeRatio = 0.25;
   /// A load that takes more than this share of a load from the store came from
   /// the store: the engine no longer had a copy.
-  double StorePart = 0.5;
+  double StoreTimeThreshold = 0.5;
   /// Weight of the newest measurement in the moving average.
   double LearningRate = 0.125;
   /// Maximum number of adapters that are remembered.
@@ -39,16 +39,17 @@
 class LoadTimeModel {
 public:
   explicit LoadTimeModel(const LoadTimeModelOptions &options)
-      : Options(options), Store(options.Store),
-        Copy(fromSeconds(toSeconds(options.Store) * options.CopyPart)),
-        Depth(options.Capacity) {}
+      : Options(options), StoreTime(options.StoreTime),
+        CopyTime(
+            fromSeconds(toSeconds(options.StoreTime) * options.CopyTimeRatio)),
+        CopyCount(options.Capacity) {}
 
   /// \returns the expected time of a load of \p key.
   Duration expected(const AdapterKey &key) const {
-    return hasCopy(key) ? Copy : Store;
+    return hasCopy(key) ? CopyTime : StoreTime;
   }
   /// \returns the expected time of a load from the weight store.
-  Duration fromStore() const { return Store; }
+  Duration fromStore() const { return StoreTime; }
   bool hasCopy(const AdapterKey &key) const;
   /// Records that a load of \p key took \p took; the engine holds the adapter
   /// now.
@@ -62,16 +63,16 @@
   void learn(Duration &mean, Duration took) const;
   /// \returns how many adapters were held after \p key.
   /// \pre \p key is remembered.
-  std::size_t placeOf(const AdapterKey &key) const;
+  std::size_t positionOf(const AdapterKey &key) const;
 
   LoadTimeModelOptions Options;
-  Duration Store;
-  Duration Copy;
+  Duration StoreTime;
+  Duration CopyTime;
   /// Most recently held first.
-  std::list<AdapterKey> Held;
-  std::unordered_map<AdapterKey, std::list<AdapterKey>::iterator> Places;
+  std::list<AdapterKey> RecentlyHeld;
+  std::unordered_map<AdapterKey, std::list<AdapterKey>::iterator> Positions;
   /// Number of copies that the engine keeps, as far as is known.
-  std::size_t Depth;
+  std::size_t CopyCount;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/PrefillModel.cpp
+++ b/packages/serving/pimentofront/src/Serving/PrefillModel.cpp
@@ -6,25 +6,25 @@
 namespace {
 
 /// Hash of a part together with all parts before it.
-std::uint64_t chainOf(std::uint64_t before, const PromptPart &part) {
+std::uint64_t chainHash(std::uint64_t before, const PromptPart &part) {
   const std::uint64_t pair[] = {before, part.Id};
   return stableHash({reinterpret_cast<const char *>(pair), sizeof(pair)});
 }
 
-std::uint64_t chainStart(const AdapterKey &key) {
+std::uint64_t initialChainHash(const AdapterKey &key) {
   return stableHash(key.Adapter.str(), key.Version);
 }
 
 } // namespace
 
 std::uint32_t
-PrefillModel::missing(const AdapterKey &key,
-                      const std::vector<PromptPart> &parts) const {
-  std::uint64_t chain = chainStart(key);
+PrefillModel::uncachedTokens(const AdapterKey &key,
+                             const std::vector<PromptPart> &parts) const {
+  std::uint64_t chain = initialChainHash(key);
   std::uint32_t tokens = 0;
   bool cached = true;
   for (const PromptPart &it : parts) {
-    chain = chainOf(chain, it);
+    chain = chainHash(chain, it);
     cached = cached && ByChain.contains(chain);
     if (!cached)
       tokens += it.Tokens;
@@ -34,11 +34,11 @@
 
 std::uint32_t PrefillModel::begin(TimePoint now, const AdapterKey &key,
                                   const std::vector<PromptPart> &parts) {
-  const std::uint32_t tokens = missing(key, parts);
+  const std::uint32_t tokens = uncachedTokens(key, parts);
   BusyUntil = std::max(BusyUntil, now) + fromSeconds(tokens / Rate);
-  std::uint64_t chain = chainStart(key);
+  std::uint64_t chain = initialChainHash(key);
   for (const PromptPart &it : parts) {
-    chain = chainOf(chain, it);
+    chain = chainHash(chain, it);
     const auto known = ByChain.find(chain);
     if (known != ByChain.end()) {
       Cached.splice(Cached.begin(), Cached, known->second);
@@ -61,13 +61,13 @@
 }
 
 void PrefillModel::learn(std::uint32_t tokens, Duration took) {
-  if (tokens < Options.LeastMeasured || took <= Duration::zero())
+  if (tokens < Options.MinMeasuredTokens || took <= Duration::zero())
     return;
   // Bounds the influence of one measurement, which other work of the engine may
   // distort.
-  constexpr double MostChange = 4;
-  const double measured = std::clamp(tokens / toSeconds(took),
-                                     Rate / MostChange, Rate * MostChange);
+  constexpr double MaxChange = 4;
+  const double measured =
+      std::clamp(tokens / toSeconds(took), Rate / MaxChange, Rate * MaxChange);
   Rate += Options.LearningRate * (measured - Rate);
 }
 
--- a/packages/serving/pimentofront/src/Serving/PrefillModel.h
+++ b/packages/serving/pimentofront/src/Serving/PrefillModel.h
@@ -19,7 +19,7 @@
   double LearningRate = 0.1;
   /// Minimum number of prompt tokens for a measurement: the time of shorter
   /// prompts is mostly other work.
-  std::uint32_t LeastMeasured = 1000;
+  std::uint32_t MinMeasuredTokens = 1000;
 };
 
 /// \class PrefillModel
@@ -38,12 +38,12 @@
       : Options(options), Rate(options.TokensPerSecond) {}
 
   /// \returns the number of tokens in \p parts that aren't cached for \p key.
-  std::uint32_t missing(const AdapterKey &key,
-                        const std::vector<PromptPart> &parts) const;
+  std::uint32_t uncachedTokens(const AdapterKey &key,
+                               const std::vector<PromptPart> &parts) const;
   /// \returns the prefill time of \p parts for \p key.
   Duration reading(const AdapterKey &key,
                    const std::vector<PromptPart> &parts) const {
-    return fromSeconds(missing(key, parts) / Rate);
+    return fromSeconds(uncachedTokens(key, parts) / Rate);
   }
   /// \returns the time until the engine has prefilled all prompts sent to it.
   Duration wait(TimePoint now) const {
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
@@ -8,7 +8,7 @@
 
 using Hosts = std::vector<const MemberView *>;
 
-const TriedHost *triedOf(const RouteQuery &query, const MemberView &host) {
+const TriedHost *findTried(const RouteQuery &query, const MemberView &host) {
   const auto it =
       std::ranges::find(query.Tried, host.Record.Host, &TriedHost::Host);
   return it == query.Tried.end() ? nullptr : &*it;
@@ -17,15 +17,16 @@
 /// \returns whether the host refused only because the first event would come
 /// too late or because the adapter isn't resident; such a host may be asked
 /// again without these conditions.
-bool isOpen(const TriedHost &word) {
-  return word.Reason == RefusalReason::Busy ||
-         (word.Reason == RefusalReason::NotResident && word.OnlyIfResident);
+bool isConditionalRefusal(const TriedHost &refusal) {
+  return refusal.Reason == RefusalReason::Busy ||
+         (refusal.Reason == RefusalReason::NotResident &&
+          refusal.OnlyIfResident);
 }
 
 /// \returns whether the host refused for any other reason.
-bool isOut(const RouteQuery &query, const MemberView &host) {
+bool refusedOutright(const RouteQuery &query, const MemberView &host) {
   return std::ranges::any_of(query.Tried, [&](const TriedHost &it) {
-    return it.Host == host.Record.Host && !isOpen(it);
+    return it.Host == host.Record.Host && !isConditionalRefusal(it);
   });
 }
 
@@ -49,13 +50,13 @@
 
 void PrefixRouting::noteRequest(TimePoint now, const AdapterKey &key) {
   if (Counts.size() >= Options.Capacity && !Counts.contains(key))
-    forgetSome(now);
+    evictCounts(now);
   Count &count = Counts[key];
   count = {decayed(now, count) + 1, now};
   Total = {decayed(now, Total) + 1, now};
 }
 
-void PrefixRouting::forgetSome(TimePoint now) {
+void PrefixRouting::evictCounts(TimePoint now) {
   constexpr double OneRequest = 1;
   std::erase_if(Counts, [&](const auto &it) {
     return decayed(now, it.second) < OneRequest;
@@ -91,11 +92,12 @@
   const std::size_t asked = std::min(own + Options.SpillChoices, hosts.size());
   detail::orderByRendezvous(query.Key, asked, hosts);
   orderByPrefix(query.Prefix, own, hosts);
-  const bool aims = query.Target != NoTarget && query.Target > Duration::zero();
-  const Duration target = aims ? query.Target : Options.DefaultTarget;
+  const bool hasTarget =
+      query.Target != NoTarget && query.Target > Duration::zero();
+  const Duration target = hasTarget ? query.Target : Options.DefaultTarget;
   for (std::size_t i = 0; i < asked; ++i) {
     const MemberView &it = *hosts[i];
-    if (triedOf(query, it))
+    if (findTried(query, it))
       continue;
     const bool isOwn = i < own;
     const double share = isOwn ? Options.OwnShare : Options.SpillShare;
@@ -103,27 +105,26 @@
                  .OnlyIfResident = !isOwn,
                  .FirstEventWithin = fromSeconds(toSeconds(target) * share)};
   }
-  return byTheirWord(query, target, own, hosts);
+  return chooseByEstimate(query, target, own, hosts);
 }
 
-std::optional<Route>
-PrefixRouting::byTheirWord(const RouteQuery &query, Duration target,
-                           std::size_t own,
-                           const std::vector<const MemberView *> &hosts) const {
+std::optional<Route> PrefixRouting::chooseByEstimate(
+    const RouteQuery &query, Duration target, std::size_t own,
+    const std::vector<const MemberView *> &hosts) const {
   const double seconds = toSeconds(target);
   const Duration onTime = fromSeconds(seconds * Options.SpillShare);
   const Duration copyCost = fromSeconds(seconds * Options.CopyCost);
   const MemberView *best = nullptr;
   std::pair<bool, Duration> least;
   for (std::size_t i = 0; i < hosts.size(); ++i) {
-    if (isOut(query, *hosts[i]))
+    if (refusedOutright(query, *hosts[i]))
       continue;
-    const TriedHost *word = triedOf(query, *hosts[i]);
-    if (word && word->Wait <= onTime)
+    const TriedHost *refusal = findTried(query, *hosts[i]);
+    if (refusal && refusal->Wait <= onTime)
       return Route{.Host = hosts[i]->Record.Host};
-    const Duration wait = word ? word->Wait : hosts[i]->Load.PrefillWait;
-    const bool isCopy = i >= own && !(word && word->Holds);
-    const std::pair rank(word == nullptr,
+    const Duration wait = refusal ? refusal->Wait : hosts[i]->Load.PrefillWait;
+    const bool isCopy = i >= own && !(refusal && refusal->Holds);
+    const std::pair rank(refusal == nullptr,
                          wait + (isCopy ? copyCost : Duration::zero()));
     if (best && rank >= least)
       continue;
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.h
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.h
@@ -67,14 +67,14 @@
   /// \returns how many of \p engines the requests for the adapter need.
   std::size_t enginesFor(TimePoint now, const AdapterKey &key,
                          std::size_t engines) const;
-  void forgetSome(TimePoint now);
+  void evictCounts(TimePoint now);
   /// \returns the host for a request that all hosts asked with a limit have
   /// refused: the first that can be on time by its own estimate, or else the
   /// one with the shortest wait. The first \p own of \p hosts are the adapter's
   /// own engines.
   std::optional<Route>
-  byTheirWord(const RouteQuery &query, Duration target, std::size_t own,
-              const std::vector<const MemberView *> &hosts) const;
+  chooseByEstimate(const RouteQuery &query, Duration target, std::size_t own,
+                   const std::vector<const MemberView *> &hosts) const;
 
   PrefixRoutingOptions Options;
   std::unordered_map<AdapterKey, Count> Counts;
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
@@ -28,7 +28,7 @@
 
 /// \returns whether the host refused an attempt for which it could have loaded
 /// the adapter.
-bool wasTriedInFull(const RouteQuery &query, const HostName &host) {
+bool wasTriedWithLoad(const RouteQuery &query, const HostName &host) {
   return std::ranges::any_of(query.Tried, [&](const TriedHost &it) {
     return it.Host == host && !it.OnlyIfResident;
   });
@@ -74,7 +74,7 @@
   });
   if (hosts.empty())
     return std::nullopt;
-  const std::size_t first = ++Turn % hosts.size();
+  const std::size_t first = ++RotationCounter % hosts.size();
   std::rotate(hosts.begin(), hosts.begin() + static_cast<std::ptrdiff_t>(first),
               hosts.end());
   const auto load = [](const MemberView *it) {
@@ -134,7 +134,7 @@
     return it->Load.VictimValue / Thousand - Options.PackingWeight * used;
   };
   std::erase_if(hosts, [&](const MemberView *it) {
-    return detail::wasTriedInFull(query, it->Record.Host);
+    return detail::wasTriedWithLoad(query, it->Record.Host);
   });
   if (hosts.empty())
     return std::nullopt;
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
@@ -99,7 +99,7 @@
 
 private:
   /// Round-robin position that breaks ties.
-  std::uint64_t Turn = 0;
+  std::uint64_t RotationCounter = 0;
 };
 
 /// \class ConsistentHash
--- a/test/AgentTest.cpp
+++ b/test/AgentTest.cpp
@@ -411,25 +411,25 @@
 TEST_CASE(
     "no request is admitted to an engine that is overdue with an earlier one") {
   Agent agent;
-  const auto give = [&](TimePoint now, std::uint64_t n) {
+  const auto sendRequest = [&](TimePoint now, std::uint64_t n) {
     ExecuteRequest it = request(n, "a", 4s);
     it.Delegated = true;
     it.FirstEventWithin = 700ms;
     agent.Controller.onHeard(now, Entry);
     agent.Controller.onExecute(now, Entry, it);
   };
-  give(Now, 1);
+  sendRequest(Now, 1);
   agent.load(Now, "a");
   REQUIRE(agent.take<StartGeneration>().size() == 1);
   SECTION("its entry is live and reported no beginning") {
-    give(Now + 1s, 2);
+    sendRequest(Now + 1s, 2);
     REQUIRE(agent.refusal());
     CHECK(agent.refusal()->Reason == RefusalReason::Busy);
     CHECK(agent.refusal()->ComeBack >= 1s);
   }
   SECTION("admitted if the earlier request has begun") {
     agent.Controller.onBegan(Now + 300ms, {.Attempt = {1, 1}});
-    give(Now + 1s, 2);
+    sendRequest(Now + 1s, 2);
     CHECK(agent.take<StartGeneration>().size() == 1);
   }
   SECTION("admitted if the entry of the earlier request is stalled") {
@@ -456,7 +456,7 @@
 }
 
 /// An agent whose engine has a larger batch than these tests fill.
-Agent roomyAgent() {
+Agent largeBatchAgent() {
   return Agent({.Host = HostName("w"),
                 .Incarnation = 1,
                 .BaseModel = "base",
@@ -470,7 +470,7 @@
 } // namespace
 
 TEST_CASE("the rate limit of an engine paces the permits of all entries") {
-  Agent agent = roomyAgent();
+  Agent agent = largeBatchAgent();
   limitEngine(agent, Now, OnePerSecond);
   for (std::uint64_t n = 1; n <= 3; ++n)
     agent.Controller.onExecute(Now, Entry + n, request(n, "a"));
@@ -485,7 +485,7 @@
 
 TEST_CASE("a request that would wait too long for the rate limit is refused at "
           "once") {
-  Agent agent = roomyAgent();
+  Agent agent = largeBatchAgent();
   limitEngine(agent, Now, OnePerSecond);
   ExecuteRequest bounded = request(1, "a");
   bounded.FirstEventWithin = 500ms;
@@ -500,7 +500,7 @@
 
 TEST_CASE("a lower rate limit refuses the waiting requests that can no longer "
           "be in time") {
-  Agent agent = roomyAgent();
+  Agent agent = largeBatchAgent();
   limitEngine(agent, Now, {.Named = true, .PerThousandSeconds = 10000});
   for (std::uint64_t n = 1; n <= 5; ++n)
     agent.Controller.onExecute(Now, Entry, request(n, "a", 5100ms));
@@ -513,10 +513,10 @@
 
 TEST_CASE("an agent that started after the limit was named learns it from the "
           "entries") {
-  Agent agent = roomyAgent();
-  ExecuteRequest told = request(1, "a");
-  told.Limit = {.Named = true, .PerThousandSeconds = 1000, .Age = 7s};
-  agent.Controller.onExecute(Now, Entry, told);
+  Agent agent = largeBatchAgent();
+  ExecuteRequest informed = request(1, "a");
+  informed.Limit = {.Named = true, .PerThousandSeconds = 1000, .Age = 7s};
+  agent.Controller.onExecute(Now, Entry, informed);
   agent.load(Now, "a");
   CHECK(agent.take<StartGeneration>().empty());
   CHECK(agent.Controller.rateLimit(Now).Named);
@@ -527,7 +527,7 @@
 
 TEST_CASE("a rate limit reported for an unknown request is ignored as that of "
           "an earlier process") {
-  Agent agent = roomyAgent();
+  Agent agent = largeBatchAgent();
   agent.Controller.onRateLimitSeen(Now, {{1, 999}, OnePerSecond});
   CHECK_FALSE(agent.Controller.rateLimit(Now).Named);
 }
--- a/test/EntryTest.cpp
+++ b/test/EntryTest.cpp
@@ -84,7 +84,7 @@
                                .Version = version,
                                .MaxTokens = 10});
   }
-  void order(RequestKey key) {
+  void callService(RequestKey key) {
     Controller.onRequest(Now, {.Key = key,
                                .Id = RequestId("o"),
                                .Caller = CallerName("club"),
@@ -205,7 +205,7 @@
 
 TEST_CASE("a non-idempotent request is sent only after its claim is granted") {
   EntryUnderTest entry;
-  entry.order(1);
+  entry.callService(1);
   const auto claims = entry.take<ProposeCommand>();
   REQUIRE(claims.size() == 1);
   entry.Controller.onDecision(Now, claims[0].Nonce, CommandOutcome{});
@@ -218,7 +218,7 @@
 TEST_CASE(
     "a non-idempotent request did not run on a host whose link never opened") {
   EntryUnderTest entry;
-  entry.order(1);
+  entry.callService(1);
   const auto claims = entry.take<ProposeCommand>();
   entry.Controller.onDecision(Now, claims.at(0).Nonce, CommandOutcome{});
   const auto [host, execute] = entry.sent();
@@ -229,7 +229,7 @@
 TEST_CASE(
     "an undecided claim is withdrawn and its request is refused as not run") {
   EntryUnderTest entry;
-  entry.order(1);
+  entry.callService(1);
   const auto claims = entry.take<ProposeCommand>();
   entry.Controller.onDecision(Now + 20s, claims.at(0).Nonce, std::nullopt);
   const auto endings = entry.take<ProposeCommand>();
@@ -242,7 +242,7 @@
 TEST_CASE("an entry that resumes after a suspension checks the deadline before "
           "it sends") {
   EntryUnderTest entry;
-  entry.order(1);
+  entry.callService(1);
   const auto claims = entry.take<ProposeCommand>();
   entry.Controller.onDecision(Now + 40s, claims.at(0).Nonce, CommandOutcome{});
   CHECK(entry.take<SendToAgent>().empty());
--- a/test/PrefixRoutingTest.cpp
+++ b/test/PrefixRoutingTest.cpp
@@ -20,7 +20,7 @@
 }
 
 /// Routes one request from host to host, as an entry does.
-struct Asking {
+struct RoutedRequest {
   PrefixRouting Routing{PrefixRoutingOptions{}};
   MemberViews Members = engines(10);
   std::vector<TriedHost> Tried;
@@ -35,7 +35,7 @@
                            .Target = Target},
                           Members);
   }
-  void isBusy(const Route &route, Duration wait, bool holds = false) {
+  void refuseBusy(const Route &route, Duration wait, bool holds = false) {
     Tried.push_back({route.Host,
                      RefusalReason::Busy,
                      {},
@@ -44,7 +44,7 @@
                      holds});
   }
   /// The host refuses because it would have to load the adapter.
-  void lacks(const Route &route, Duration wait) {
+  void refuseNotResident(const Route &route, Duration wait) {
     Tried.push_back(
         {route.Host, RefusalReason::NotResident, {}, true, wait, false});
   }
@@ -54,17 +54,17 @@
 
 TEST_CASE("when all asked engines are busy the one with the shortest wait gets "
           "the request") {
-  Asking asking;
+  RoutedRequest routed;
   std::vector<HostName> asked;
   const Duration waits[] = {1500ms, 1200ms, 900ms, 1100ms};
   for (const Duration wait : waits) {
-    const auto route = asking.next();
+    const auto route = routed.next();
     REQUIRE(route);
     CHECK(route->FirstEventWithin > Duration::zero());
     asked.push_back(route->Host);
-    asking.isBusy(*route, wait);
+    routed.refuseBusy(*route, wait);
   }
-  const auto last = asking.next();
+  const auto last = routed.next();
   REQUIRE(last);
   CHECK(last->Host == asked[2]);
   CHECK(last->FirstEventWithin == Duration::zero());
@@ -72,28 +72,28 @@
 
 TEST_CASE(
     "the wait limits are shares of the time until the first event is due") {
-  Asking asking;
-  const Route usual = *asking.next();
+  RoutedRequest routed;
+  const Route usual = *routed.next();
   CHECK(usual.FirstEventWithin == 700ms);
-  asking.Target = 500ms;
-  CHECK(asking.next()->FirstEventWithin == 350ms);
-  asking.isBusy(usual, 1s);
-  CHECK(asking.next()->FirstEventWithin == 450ms);
+  routed.Target = 500ms;
+  CHECK(routed.next()->FirstEventWithin == 350ms);
+  routed.refuseBusy(usual, 1s);
+  CHECK(routed.next()->FirstEventWithin == 450ms);
 }
 
 TEST_CASE("a host that refused for another reason is not asked again") {
-  Asking asking;
+  RoutedRequest routed;
   for (int i = 0; i < 10; ++i) {
-    const auto route = asking.next();
+    const auto route = routed.next();
     REQUIRE(route);
-    asking.Tried.push_back({route->Host, RefusalReason::BackendDown});
+    routed.Tried.push_back({route->Host, RefusalReason::BackendDown});
   }
-  CHECK(!asking.next());
+  CHECK(!routed.next());
 }
 
 TEST_CASE("the same adapter and prefix are sent to the same engine") {
-  Asking one;
-  Asking other;
+  RoutedRequest one;
+  RoutedRequest other;
   for (std::uint64_t prefix = 1; prefix < 20; ++prefix)
     CHECK(one.next(prefix)->Host == other.next(prefix)->Host);
 }
@@ -104,47 +104,47 @@
 // run were further copies.
 TEST_CASE(
     "an adapter that no engine has is loaded on the adapter's own engine") {
-  Asking asking;
-  asking.Target = 500ms;
-  const Route own = *asking.next();
+  RoutedRequest routed;
+  routed.Target = 500ms;
+  const Route own = *routed.next();
   CHECK_FALSE(own.OnlyIfResident);
   SECTION("its own engine would be on time") {
-    asking.isBusy(own, 400ms);
+    routed.refuseBusy(own, 400ms);
     for (int i = 0; i < 3; ++i) {
-      const Route route = *asking.next();
+      const Route route = *routed.next();
       CHECK(route.OnlyIfResident);
-      asking.lacks(route, 400ms);
+      routed.refuseNotResident(route, 400ms);
     }
   }
   SECTION("its own engine would be late and the others little faster") {
-    asking.isBusy(own, 900ms);
+    routed.refuseBusy(own, 900ms);
     for (int i = 0; i < 3; ++i)
-      asking.lacks(*asking.next(), 700ms);
+      routed.refuseNotResident(*routed.next(), 700ms);
   }
-  const Route last = *asking.next();
+  const Route last = *routed.next();
   CHECK(last.Host == own.Host);
   CHECK_FALSE(last.OnlyIfResident);
 }
 
 TEST_CASE("an idle engine loads an adapter when its own engine is too busy") {
-  Asking asking;
-  asking.Target = 500ms;
-  asking.isBusy(*asking.next(), 2s, /*holds=*/true);
-  const Route first = *asking.next();
-  asking.lacks(first, 280ms);
-  asking.lacks(*asking.next(), 280ms);
-  asking.lacks(*asking.next(), 280ms);
-  CHECK(asking.next()->Host == first.Host);
+  RoutedRequest routed;
+  routed.Target = 500ms;
+  routed.refuseBusy(*routed.next(), 2s, /*holds=*/true);
+  const Route first = *routed.next();
+  routed.refuseNotResident(first, 280ms);
+  routed.refuseNotResident(*routed.next(), 280ms);
+  routed.refuseNotResident(*routed.next(), 280ms);
+  CHECK(routed.next()->Host == first.Host);
 }
 
 TEST_CASE("when all engines would be late one that has the adapter is "
           "preferred to a further copy") {
-  Asking asking;
-  asking.Target = 500ms;
-  asking.isBusy(*asking.next(), 2s);
-  asking.lacks(*asking.next(), 1000ms);
-  const Route holder = *asking.next();
-  asking.isBusy(holder, 1100ms, /*holds=*/true);
-  asking.lacks(*asking.next(), 1000ms);
-  CHECK(asking.next()->Host == holder.Host);
+  RoutedRequest routed;
+  routed.Target = 500ms;
+  routed.refuseBusy(*routed.next(), 2s);
+  routed.refuseNotResident(*routed.next(), 1000ms);
+  const Route holder = *routed.next();
+  routed.refuseBusy(holder, 1100ms, /*holds=*/true);
+  routed.refuseNotResident(*routed.next(), 1000ms);
+  CHECK(routed.next()->Host == holder.Host);
 }
