--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -184,8 +184,8 @@
     if (!it.Delegated || it.BegunAt)
       continue;
     // A stalled entry does not report that its requests have begun.
-    const auto lastMessage = Board.HeardOf.find(it.Entry);
-    if (lastMessage != Board.HeardOf.end())
+    const auto lastMessage = Board.LastMessageAt.find(it.Entry);
+    if (lastMessage != Board.LastMessageAt.end())
       longest =
           std::max(longest, std::min(now, lastMessage->second) - it.ExpectedAt);
   }
--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -59,7 +59,7 @@
   /// within about a second.
   Duration CompanyLimit = std::chrono::milliseconds(400);
   /// Number of waiting requests that end the wait.
-  std::uint32_t CompanyWanted = 4;
+  std::uint32_t BatchingTarget = 4;
   /// An engine that was found running must be idle for this long before it is
   /// used, so that requests and loads of an earlier agent process have ended.
   Duration EngineSettleTime = std::chrono::seconds(2);
@@ -117,7 +117,7 @@
   /// Prompt tokens that the engine had to process because they were not cached.
   std::uint32_t PromptTokens = 0;
   /// The engine had no other prompt to process when this attempt started.
-  bool ReadAlone = false;
+  bool PrefilledAlone = false;
 };
 
 /// \class FailedLoads
@@ -185,7 +185,7 @@
   std::size_t WaitingCount = 0;
   std::unordered_map<AttemptId, RunningAttempt> Running;
   /// When each entry sent its last message.
-  std::unordered_map<EntryLink, TimePoint> HeardOf;
+  std::unordered_map<EntryLink, TimePoint> LastMessageAt;
   std::uint32_t RunningServices = 0;
   std::unordered_map<AdapterKey, FailedLoads> SetAside;
 
@@ -213,7 +213,7 @@
   std::optional<TimePoint> EngineIdleSince;
   /// This agent has used the engine's process before, or saw it start: no order
   /// of an earlier agent can be in flight.
-  bool EngineIsOurs = false;
+  bool OwnsEngineProcess = false;
   /// Load orders that the engine hasn't answered, including those sent to an
   /// engine process that has been replaced since.
   std::uint32_t LoadsUnderWay = 0;
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -9,7 +9,7 @@
                                  const EvictionPolicy &eviction, LoadGate &gate)
     : Board(options, eviction), Gate(gate), Admission(Board), Dispatch(Board),
       Loads(Board, gate, Admission) {
-  assert(options.BatchCapacity > 0 && "an engine runs at least one request");
+  assert(options.BatchCapacity > 0 && "the batch capacity must be at least 1");
 }
 
 void AgentController::decide(TimePoint now) {
@@ -35,7 +35,7 @@
 }
 
 void AgentController::onEntryGone(TimePoint now, EntryLink entry) {
-  Board.HeardOf.erase(entry);
+  Board.LastMessageAt.erase(entry);
   std::vector<AttemptId> waiting;
   for (const auto &[key, queue] : Board.Waiting)
     for (const WaitingAttempt &it : queue)
@@ -100,7 +100,7 @@
   if (it == Board.Running.end() || it->second.BegunAt)
     return;
   it->second.BegunAt = now;
-  if (it->second.ReadAlone)
+  if (it->second.PrefilledAlone)
     Board.Prefill.learn(it->second.PromptTokens, message.FirstEvent);
 }
 
@@ -141,7 +141,7 @@
   const RunningAttempt running = it->second;
   if (message.Kind == ReleaseKind::Answered)
     recordServiceTime(now - running.StartedAt);
-  if (running.ReadAlone && !running.BegunAt)
+  if (running.PrefilledAlone && !running.BegunAt)
     Board.Prefill.learn(running.PromptTokens, message.FirstEvent);
   endAttempt(now, message.Attempt, running);
   decide(now);
@@ -206,19 +206,20 @@
     Board.EngineIdleSince = now;
     return;
   }
-  const Duration settle =
-      Board.EngineIsOurs ? Duration::zero() : Board.Options.EngineSettleTime;
+  const Duration settle = Board.OwnsEngineProcess
+                              ? Duration::zero()
+                              : Board.Options.EngineSettleTime;
   if (now < *Board.EngineIdleSince + settle)
     return;
   Board.Slots.adopt(now, resident);
   for (const AdapterKey &it : resident)
     Board.LoadTimes.onHeld(it);
-  if (Board.EngineIsOurs) {
+  if (Board.OwnsEngineProcess) {
     Board.EngineStartedAt = now;
     applyProfileColdStart(now);
   }
   Board.EngineReady = true;
-  Board.EngineIsOurs = true;
+  Board.OwnsEngineProcess = true;
   Gate.onEngineReady(now);
   decide(now);
 }
@@ -236,7 +237,7 @@
   Board.EngineIdleSince.reset();
   // No order of another agent process can be in flight to the next engine
   // process.
-  Board.EngineIsOurs = true;
+  Board.OwnsEngineProcess = true;
   if (!Board.EngineReady)
     return;
   Board.EngineReady = false;
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -35,7 +35,9 @@
   /// The engine or service rejected an attempt before it began.
   void onWorkNotStarted(TimePoint now, const AttemptId &attempt);
   /// A message of an entry was received, which shows that the entry is running.
-  void onHeard(TimePoint now, EntryLink entry) { Board.HeardOf[entry] = now; }
+  void onHeard(TimePoint now, EntryLink entry) {
+    Board.LastMessageAt[entry] = now;
+  }
   /// The engine has begun to answer a delegated request.
   void onBegan(TimePoint now, const AttemptBegan &message);
   /// An entry reports the end of an attempt that it sent to the engine itself.
@@ -43,8 +45,8 @@
   /// \returns the engine's rate limit, to pass it on to entries that may not
   /// know it.
   RateLimit rateLimit(TimePoint now) const { return Board.Pacer.limit(now); }
-  /// \returns the interval between two requests at the engine's pace; zero
-  /// while it is neither limited nor cold.
+  /// \returns the interval between two requests at the engine's present rate;
+  /// zero while it is neither limited nor cold.
   Duration pace(TimePoint now) const { return Board.Pacer.interval(now); }
   /// The entries report that another process of the engine runs now.
   void onProcessChanged() { Board.Pacer.reset(); }
--- a/packages/serving/pimentofront/src/Serving/DispatchController.cpp
+++ b/packages/serving/pimentofront/src/Serving/DispatchController.cpp
@@ -48,7 +48,7 @@
         return false;
     }
   }
-  return batchable < Board.Options.CompanyWanted;
+  return batchable < Board.Options.BatchingTarget;
 }
 
 void DispatchController::run(TimePoint now) {
@@ -87,7 +87,7 @@
                                        .ExpectedAt = now + reading,
                                        .LoadStall = attempt.LoadStall,
                                        .PromptTokens = tokens,
-                                       .ReadAlone = alone});
+                                       .PrefilledAlone = alone});
   CurrentPass = candidate.Pass;
   const std::uint32_t weight = std::max(attempt.Request.Weight, 1U);
   Passes[attempt.Request.Kind] = candidate.Pass + 1.0 / weight;
--- a/packages/serving/pimentofront/src/Serving/EntryBoard.h
+++ b/packages/serving/pimentofront/src/Serving/EntryBoard.h
@@ -133,7 +133,7 @@
   std::size_t MaxRequests = 20000;
   /// Retry-after of the refusals by a process that can't confirm its
   /// configuration.
-  Duration IsolatedComeBack = std::chrono::seconds(1);
+  Duration IsolatedRetryAfter = std::chrono::seconds(1);
 };
 
 /// \class CurrentAttempt
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -88,7 +88,7 @@
                      "this process is stopping");
   if (!Board.Configuration.isConfirmed(now))
     return refuseNew(caller, RefusalReason::Isolated,
-                     Board.Options.IsolatedComeBack,
+                     Board.Options.IsolatedRetryAfter,
                      "the configuration in force isn't known for certain");
   if (Board.Requests.size() >= Board.Options.MaxRequests)
     return refuseNew(caller, RefusalReason::QueueFull, ShortRetryAfter,
@@ -451,7 +451,7 @@
     member.Record = it;
     member.Unconfirmed = false;
     member.NameHash = stableHash(it.Host.str());
-    member.Drained = isOutOfUse(it);
+    member.Drained = isDrainedOrEvacuated(it);
   }
   if (update.Complete)
     for (auto &[host, member] : Board.Members)
@@ -464,14 +464,14 @@
   });
 }
 
-bool EntryController::isOutOfUse(const MemberRecord &member) const {
+bool EntryController::isDrainedOrEvacuated(const MemberRecord &member) const {
   return Board.Configuration.isDrained(member.Host) ||
          Board.Configuration.isEvacuated(member.Zone);
 }
 
 void EntryController::onDrains() {
   for (auto &[host, member] : Board.Members)
-    member.Drained = isOutOfUse(member.Record);
+    member.Drained = isDrainedOrEvacuated(member.Record);
 }
 
 //===----------------------------------------------------------------------===//
--- a/packages/serving/pimentofront/src/Serving/EntryController.h
+++ b/packages/serving/pimentofront/src/Serving/EntryController.h
@@ -53,7 +53,7 @@
 
 private:
   /// \returns whether an operator has drained the host or evacuated its zone.
-  bool isOutOfUse(const MemberRecord &member) const;
+  bool isDrainedOrEvacuated(const MemberRecord &member) const;
   RefusalReason resolve(EntryRequest &request, std::string &detail) const;
   void refuseNew(const CallerRequest &request, RefusalReason reason,
                  Duration comeBack, std::string detail);
