--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -5,12 +5,12 @@
 namespace pimentofront {
 namespace {
 
-/// Worth of the next victim when there is none.
-constexpr double MostVictimValue = 1e6;
+/// Reported eviction cost when there is no slot to evict.
+constexpr double MaxVictimValue = 1e6;
 
-/// Returns in refusals are spread over this factor, so that the refused don't
-/// come back together.
-Duration spread(Random &random, Duration d) {
+/// Adds jitter to a retry-after, so that refused callers do not return at the
+/// same time.
+Duration withJitter(Random &random, Duration d) {
   constexpr Duration Shortest = std::chrono::milliseconds(50);
   return random.jitter(std::max(d, Shortest));
 }
@@ -29,9 +29,9 @@
 
 bool AdmissionController::exceedsRateLimit(TimePoint now, std::size_t ahead,
                                            Duration remaining) const {
-  const Duration most =
+  const Duration longest =
       fromSeconds(toSeconds(remaining) * Board.Options.StallShare);
-  return Board.Pacer.wait(now, ahead) > most;
+  return Board.Pacer.wait(now, ahead) > longest;
 }
 
 void AdmissionController::refuseBeyondRateLimit(TimePoint now) {
@@ -51,7 +51,7 @@
       ++ahead;
   }
   for (const auto &[entry, attempt] : refused) {
-    forget(attempt);
+    removeWaiting(attempt);
     refuse(entry, attempt,
            {RefusalReason::RateLimited, Board.Pacer.wait(now, ahead)},
            figures(now));
@@ -59,8 +59,8 @@
 }
 
 LoadFigures AdmissionController::figures(TimePoint now) const {
-  // Without a slot to give up, a load would have to wait for one.
-  double victim = Board.Slots.hasEmpty() ? 0 : MostVictimValue;
+  // Without a slot to evict, a load would have to wait for one.
+  double victim = Board.Slots.hasEmpty() ? 0 : MaxVictimValue;
   for (const Slot &it : Board.Slots.all())
     if (mayEvict(it, Board.Waiting))
       victim = std::min(victim, Board.Popularity.valueOf(now, it.Key));
@@ -70,12 +70,12 @@
           .BatchCapacity = Board.BatchCapacity,
           .LoadWait = loadBacklog(now),
           .VictimValue = static_cast<std::uint32_t>(victim * Thousand),
-          .PrefillWait = Board.Prefill.wait(now) + lag(now) +
+          .PrefillWait = Board.Prefill.wait(now) + engineDelay(now) +
                          Board.Pacer.wait(now, Board.WaitingCount)};
 }
 
-AdmissionController::Verdict
-AdmissionController::judgeService(const ExecuteRequest &request) const {
+AdmissionController::Decision
+AdmissionController::evaluateService(const ExecuteRequest &request) const {
   const auto &services = Board.Options.Services;
   if (std::ranges::find(services, request.Service) == services.end())
     return {RefusalReason::NoSuchBackend};
@@ -84,13 +84,13 @@
   return {};
 }
 
-AdmissionController::Verdict
-AdmissionController::judgeResident(TimePoint now,
-                                   const ExecuteRequest &request) const {
+AdmissionController::Decision
+AdmissionController::evaluateResident(TimePoint now,
+                                      const ExecuteRequest &request) const {
   const Duration wait = queueWait(now);
   if (request.OnlyIfResident && wait > Board.Options.SpillDelay)
     return {RefusalReason::QueueFull, wait};
-  // An entry that sends the request itself judges how long the answer takes.
+  // The entry of a delegated request decides how long its answer may take.
   const Duration service =
       request.Delegated ? Duration::zero() : Board.ServiceTime;
   if (Board.Options.RefusesEarly && wait + service > request.Remaining)
@@ -98,19 +98,19 @@
   return {};
 }
 
-AdmissionController::Verdict
-AdmissionController::judgeMissing(TimePoint now, const ExecuteRequest &request,
-                                  Duration firstEvent) const {
-  const auto aside = Board.SetAside.find(request.Key);
-  if (aside != Board.SetAside.end() && aside->second.Until > now)
-    return {RefusalReason::LoadFailed, aside->second.Until - now};
+AdmissionController::Decision AdmissionController::evaluateMissing(
+    TimePoint now, const ExecuteRequest &request, Duration firstEvent) const {
+  const auto failed = Board.SetAside.find(request.Key);
+  if (failed != Board.SetAside.end() && failed->second.Until > now)
+    return {RefusalReason::LoadFailed, failed->second.Until - now};
   const bool demanded = Board.Waiting.contains(request.Key);
   if (demanded)
     return {};
   if (request.OnlyIfResident)
     return {RefusalReason::NotResident, firstEvent};
-  // Only the scheduler knows where this one would stand: it answers a demand
-  // within a round trip, and then what is hopeless is refused.
+  // Only the scheduler knows the queue position of this load. It answers a
+  // demand within a round trip, and requests that it would delay too long are
+  // then refused.
   return {};
 }
 
@@ -126,7 +126,7 @@
     return;
   const TimePoint ready = now + wait;
   std::erase_if(it->second, [&](const WaitingAttempt &attempt) {
-    // An entry that sends the request itself judges how long the answer takes.
+    // The entry of a delegated request decides how long its answer may take.
     if (attempt.Request.Delegated)
       return false;
     if (ready <= stallLimit(attempt, Board.Options.StallShare) &&
@@ -157,8 +157,8 @@
       ++ahead;
   if (ahead < free)
     return Duration::zero();
-  // The slots in use come free one after the other, each within the time that
-  // a request takes.
+  // The slots in use are released one after another, at even intervals within
+  // the time that a request takes.
   return Board.ServiceTime * (ahead - free + 1) /
          std::max<std::int64_t>(pinned, 1);
 }
@@ -169,34 +169,36 @@
   const AdapterKey &key = request.Key;
   const bool ready = Board.Slots.isReady(key);
   const bool loading = Board.Slots.isLoading(key);
-  // The requests that end give both their places and their slots.
+  // Requests that end release both their place in the batch and their slot.
   const Duration ends = ready || loading
                             ? queueWait(now)
                             : std::max(queueWait(now), slotWait(key));
   return ends + (ready ? Duration::zero() : Board.LoadTimes.expected(key)) +
          Board.Prefill.wait(now) + Board.Prefill.reading(key, request.Parts) +
-         lag(now);
+         engineDelay(now);
 }
 
-Duration AdmissionController::lag(TimePoint now) const {
-  Duration most = Duration::zero();
+Duration AdmissionController::engineDelay(TimePoint now) const {
+  Duration longest = Duration::zero();
   for (const auto &[attempt, it] : Board.Running) {
     if (!it.Delegated || it.BegunAt)
       continue;
-    // An entry that stands still tells of no beginning.
-    const auto heard = Board.HeardOf.find(it.Entry);
-    if (heard != Board.HeardOf.end())
-      most = std::max(most, std::min(now, heard->second) - it.ExpectedAt);
+    // A stalled entry does not report that its requests have begun.
+    const auto lastMessage = Board.LastMessageAt.find(it.Entry);
+    if (lastMessage != Board.LastMessageAt.end())
+      longest =
+          std::max(longest, std::min(now, lastMessage->second) - it.ExpectedAt);
   }
-  return most;
+  return longest;
 }
 
-AdmissionController::Verdict
-AdmissionController::judge(TimePoint now, const ExecuteRequest &request) const {
+AdmissionController::Decision
+AdmissionController::evaluate(TimePoint now,
+                              const ExecuteRequest &request) const {
   if (Board.Leaving)
     return {RefusalReason::Leaving};
   if (!request.Service.empty())
-    return judgeService(request);
+    return evaluateService(request);
   if (!Board.EngineReady)
     return {RefusalReason::BackendDown, Board.LoadTimes.fromStore()};
   if (request.BaseModel != Board.Options.BaseModel)
@@ -212,33 +214,36 @@
   if (exceedsRateLimit(now, Board.WaitingCount, request.Remaining))
     return {RefusalReason::RateLimited,
             Board.Pacer.wait(now, Board.WaitingCount)};
-  return holds ? judgeResident(now, request) : judgeMissing(now, request, wait);
+  return holds ? evaluateResident(now, request)
+               : evaluateMissing(now, request, wait);
 }
 
 void AdmissionController::refuse(EntryLink entry, const AttemptId &attempt,
-                                 Verdict verdict, const LoadFigures &figures) {
-  // An entry compares the waits of several hosts, so they aren't spread.
-  const Duration comeBack = onlyAskedAround(verdict.Reason)
-                                ? verdict.ComeBack
-                                : spread(Board.Jitter, verdict.ComeBack);
+                                 Decision decision,
+                                 const LoadFigures &figures) {
+  // An entry compares these waits between hosts, so they get no jitter.
+  const Duration comeBack = onlyAskedAround(decision.Reason)
+                                ? decision.ComeBack
+                                : withJitter(Board.Jitter, decision.ComeBack);
   Board.Commands.push_back(SendToEntry{entry, AttemptRefused{
                                                   .Attempt = attempt,
-                                                  .Reason = verdict.Reason,
+                                                  .Reason = decision.Reason,
                                                   .ComeBack = comeBack,
                                                   .Load = figures,
-                                                  .Holds = verdict.Holds,
+                                                  .Holds = decision.Holds,
                                               }});
 }
 
 void AdmissionController::onExecute(TimePoint now, EntryLink entry,
                                     const ExecuteRequest &request) {
-  const Verdict verdict = judge(now, request);
+  const Decision decision = evaluate(now, request);
   const bool toEngine = request.Service.empty();
-  // A request that is only asking around isn't demand for this host yet.
-  if (toEngine && !onlyAskedAround(verdict.Reason))
+  // A probe that is refused with `Busy` or `NotResident` is not yet demand for
+  // this host.
+  if (toEngine && !onlyAskedAround(decision.Reason))
     Board.Popularity.noteRequest(now, request.Key);
-  if (verdict.Reason != RefusalReason::None)
-    return refuse(entry, request.Attempt, verdict, figures(now));
+  if (decision.Reason != RefusalReason::None)
+    return refuse(entry, request.Attempt, decision, figures(now));
   const TimePoint deadline = now + request.Remaining;
   if (toEngine) {
     const bool ready = Board.Slots.isReady(request.Key);
@@ -266,9 +271,9 @@
     Board.Commands.push_back(StartServiceCall{request});
 }
 
-void AdmissionController::refuseHopeless(TimePoint now) {
+void AdmissionController::refuseInfeasible(TimePoint now) {
   refuseBeyondRateLimit(now);
-  std::optional<LoadFigures> shared;
+  std::optional<LoadFigures> currentFigures;
   for (auto it = Board.Waiting.begin(); it != Board.Waiting.end();) {
     auto &[key, queue] = *it;
     const bool ready = Board.Slots.isReady(key);
@@ -281,10 +286,11 @@
     std::erase_if(queue, [&](const WaitingAttempt &attempt) {
       if (now + load <= attempt.Deadline)
         return false;
-      if (!shared)
-        shared = figures(now);
+      if (!currentFigures)
+        currentFigures = figures(now);
       const Duration wait = ready ? queueWait(now) : loadBacklog(now);
-      refuse(attempt.Entry, attempt.Request.Attempt, {reason, wait}, *shared);
+      refuse(attempt.Entry, attempt.Request.Attempt, {reason, wait},
+             *currentFigures);
       --Board.WaitingCount;
       return true;
     });
@@ -310,7 +316,7 @@
     refuseWaiting(AdapterKey(Board.Waiting.begin()->first), reason, comeBack);
 }
 
-bool AdmissionController::forget(const AttemptId &attempt) {
+bool AdmissionController::removeWaiting(const AttemptId &attempt) {
   for (auto it = Board.Waiting.begin(); it != Board.Waiting.end(); ++it) {
     const auto erased = std::erase_if(it->second, [&](const auto &waiting) {
       return waiting.Request.Attempt == attempt;
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -9,7 +9,7 @@
                                  const EvictionPolicy &eviction, LoadGate &gate)
     : Board(options, eviction), Gate(gate), Admission(Board), Dispatch(Board),
       Loads(Board, gate, Admission) {
-  assert(options.BatchCapacity > 0 && "an engine runs at least one request");
+  assert(options.BatchCapacity > 0 && "the batch capacity must be at least 1");
 }
 
 void AgentController::decide(TimePoint now) {
@@ -27,24 +27,25 @@
 }
 
 void AgentController::onCancel(TimePoint now, const AttemptId &attempt) {
-  if (Admission.forget(attempt))
+  if (Admission.removeWaiting(attempt))
     return decide(now);
-  // The pin stays until the engine says that it has stopped.
+  // The slot stays pinned until the engine reports that it has stopped.
   if (Board.Running.contains(attempt))
     Board.Commands.push_back(CancelWork{attempt});
 }
 
 void AgentController::onEntryGone(TimePoint now, EntryLink entry) {
-  Board.HeardOf.erase(entry);
+  Board.LastMessageAt.erase(entry);
   std::vector<AttemptId> waiting;
   for (const auto &[key, queue] : Board.Waiting)
     for (const WaitingAttempt &it : queue)
       if (it.Entry == entry)
         waiting.push_back(it.Request.Attempt);
   for (const AttemptId &it : waiting)
-    Admission.forget(it);
+    Admission.removeWaiting(it);
   for (const auto &[attempt, running] : Board.Running)
-    // A call that may not be repeated runs to its end: half of it helps nobody.
+    // Calls of plain services may be non-idempotent and run to their end: a
+    // call that stops halfway is of no use.
     if (running.Entry == entry && !running.IsService)
       Board.Commands.push_back(CancelWork{attempt});
   decide(now);
@@ -81,7 +82,7 @@
   const RunningAttempt running = it->second;
   endAttempt(now, attempt, running);
   if (!running.IsService && ending == AttemptEnding::Answered)
-    noteServiceTime(now - running.StartedAt);
+    recordServiceTime(now - running.StartedAt);
   Board.Commands.push_back(
       SendToEntry{running.Entry, AttemptFinished{
                                      .Attempt = attempt,
@@ -99,13 +100,13 @@
   if (it == Board.Running.end() || it->second.BegunAt)
     return;
   it->second.BegunAt = now;
-  if (it->second.ReadAlone)
+  if (it->second.PrefilledAlone)
     Board.Prefill.learn(it->second.PromptTokens, message.FirstEvent);
 }
 
 void AgentController::onRateLimitSeen(TimePoint now,
                                       const RateLimitSeen &message) {
-  // Only of the process that runs now.
+  // Accept a limit only from the engine's current process.
   if (!Board.Running.contains(message.Attempt))
     return;
   applyRateLimit(now, message.Limit);
@@ -114,15 +115,15 @@
 
 void AgentController::applyRateLimit(TimePoint now, const RateLimit &limit) {
   if (Board.Pacer.apply(now, limit))
-    Admission.refuseHopeless(now);
+    Admission.refuseInfeasible(now);
 }
 
 void AgentController::applyColdStart(TimePoint now, const ColdStart &cold) {
   if (Board.Pacer.applyCold(now, cold))
-    Admission.refuseHopeless(now);
+    Admission.refuseInfeasible(now);
 }
 
-void AgentController::presumeCold(TimePoint now) {
+void AgentController::applyProfileColdStart(TimePoint now) {
   if (!Board.EngineStartedAt)
     return;
   ColdStart cold = Board.Cold;
@@ -134,19 +135,19 @@
                                  const AttemptReleased &message) {
   const auto it = Board.Running.find(message.Attempt);
   if (it == Board.Running.end()) {
-    Admission.forget(message.Attempt);
+    Admission.removeWaiting(message.Attempt);
     return decide(now);
   }
   const RunningAttempt running = it->second;
   if (message.Kind == ReleaseKind::Answered)
-    noteServiceTime(now - running.StartedAt);
-  if (running.ReadAlone && !running.BegunAt)
+    recordServiceTime(now - running.StartedAt);
+  if (running.PrefilledAlone && !running.BegunAt)
     Board.Prefill.learn(running.PromptTokens, message.FirstEvent);
   endAttempt(now, message.Attempt, running);
   decide(now);
 }
 
-void AgentController::noteServiceTime(Duration took) {
+void AgentController::recordServiceTime(Duration took) {
   constexpr int SmoothingShare = 16;
   Board.ServiceTime += (took - Board.ServiceTime) / SmoothingShare;
 }
@@ -156,7 +157,7 @@
   Board.BatchCapacity = std::max(profile.BatchCapacity, 1U);
   Board.Prefill.setCacheTokens(profile.CacheTokens);
   Board.Cold = profile.Cold;
-  presumeCold(now);
+  applyProfileColdStart(now);
   decide(now);
 }
 
@@ -201,28 +202,29 @@
     return;
   }
   if (!Board.EngineIdleSince) {
-    // What it holds now may have been read before it became idle.
+    // The resident adapters may have been read before the engine became idle.
     Board.EngineIdleSince = now;
     return;
   }
-  const Duration settle =
-      Board.EngineIsOurs ? Duration::zero() : Board.Options.EngineSettleTime;
+  const Duration settle = Board.OwnsEngineProcess
+                              ? Duration::zero()
+                              : Board.Options.EngineSettleTime;
   if (now < *Board.EngineIdleSince + settle)
     return;
   Board.Slots.adopt(now, resident);
   for (const AdapterKey &it : resident)
     Board.LoadTimes.onHeld(it);
-  if (Board.EngineIsOurs) {
+  if (Board.OwnsEngineProcess) {
     Board.EngineStartedAt = now;
-    presumeCold(now);
+    applyProfileColdStart(now);
   }
   Board.EngineReady = true;
-  Board.EngineIsOurs = true;
+  Board.OwnsEngineProcess = true;
   Gate.onEngineReady(now);
   decide(now);
 }
 
-void AgentController::breakOff(TimePoint now, bool services) {
+void AgentController::abortRunning(TimePoint now, bool services) {
   std::vector<AttemptId> attempts;
   for (const auto &[attempt, running] : Board.Running)
     if (running.IsService == services)
@@ -233,15 +235,16 @@
 
 void AgentController::onEngineLost(TimePoint now) {
   Board.EngineIdleSince.reset();
-  // What starts now starts without orders of anybody.
-  Board.EngineIsOurs = true;
+  // No order of another agent process can be in flight to the next engine
+  // process.
+  Board.OwnsEngineProcess = true;
   if (!Board.EngineReady)
     return;
   Board.EngineReady = false;
   Board.Pacer.reset();
   Board.Prefill.clear(now);
   Board.LoadTimes.clear();
-  breakOff(now, /*services=*/false);
+  abortRunning(now, /*services=*/false);
   for (const Slot &it : std::vector<Slot>(Board.Slots.all()))
     if (it.State == SlotState::Loading)
       Gate.onLoadEnded(now, Board, it.Key, Duration::zero());
@@ -286,11 +289,11 @@
 }
 
 void AgentController::tick(TimePoint now) {
-  Admission.refuseHopeless(now);
+  Admission.refuseInfeasible(now);
   releaseOverdue(now);
   std::erase_if(Board.SetAside, [&](const auto &it) {
-    constexpr Duration Remembered = std::chrono::minutes(10);
-    return it.second.Until + Remembered < now;
+    constexpr Duration RetentionPeriod = std::chrono::minutes(10);
+    return it.second.Until + RetentionPeriod < now;
   });
   decide(now);
 }
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -5,9 +5,9 @@
 namespace pimentofront {
 namespace {
 
-/// How long the ending of a claim is proposed again before it is left to the
-/// ledger's own limit.
-constexpr Duration EndingLifetime = std::chrono::minutes(2);
+/// How long the ending of a claim is proposed again before the claim is left to
+/// expire in the ledger.
+constexpr Duration EndingProposalTimeout = std::chrono::minutes(2);
 
 std::uint64_t contentHash(const CallerRequest &request) {
   const std::uint64_t seed = stableHash(request.Service.str());
@@ -19,7 +19,8 @@
          reason == RefusalReason::LoadFailed;
 }
 
-/// \returns the live version that was named, or the highest live one.
+/// \returns the selected live version, or the highest live one if none was
+/// selected.
 const VersionRecord *chooseVersion(const AdapterRecord &adapter,
                                    VersionNumber wanted) {
   const VersionRecord *best = nullptr;
@@ -43,7 +44,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// A request arrives
+// New requests
 //===----------------------------------------------------------------------===//
 
 void EntryController::refuseNew(const CallerRequest &request,
@@ -81,16 +82,16 @@
 }
 
 void EntryController::onRequest(TimePoint now, CallerRequest caller) {
-  constexpr Duration Soon = std::chrono::milliseconds(200);
+  constexpr Duration ShortRetryAfter = std::chrono::milliseconds(200);
   if (Board.Stopping)
     return refuseNew(caller, RefusalReason::Stopping, Duration::zero(),
                      "this process is stopping");
   if (!Board.Configuration.isConfirmed(now))
     return refuseNew(caller, RefusalReason::Isolated,
-                     Board.Options.IsolatedComeBack,
+                     Board.Options.IsolatedRetryAfter,
                      "the configuration in force isn't known for certain");
   if (Board.Requests.size() >= Board.Options.MaxRequests)
-    return refuseNew(caller, RefusalReason::QueueFull, Soon,
+    return refuseNew(caller, RefusalReason::QueueFull, ShortRetryAfter,
                      "too many requests in progress");
   const KindRecord *kind = Board.Configuration.findKind(caller.Kind);
   if (!kind)
@@ -105,7 +106,7 @@
   const RefusalReason limited =
       Board.Limits.enter(*kind, request.Caller.Caller);
   if (limited != RefusalReason::None)
-    return refuseNew(request.Caller, limited, Soon, "limit reached");
+    return refuseNew(request.Caller, limited, ShortRetryAfter, "limit reached");
   const Duration timeout = request.Caller.Timeout;
   request.Deadline =
       now + (timeout > Duration::zero() ? std::min(timeout, kind->Window)
@@ -146,16 +147,16 @@
     return;
   EntryRequest &request = Board.Requests.at(it->second);
   Board.Claims.erase(it);
-  constexpr Duration Later = std::chrono::seconds(1);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
   if (!outcome)
-    // Nothing was sent; finish() withdraws the claim in case it was granted.
+    // No attempt was sent; finish() withdraws the claim in case it was granted.
     return finish(request, {.Kind = FinalKind::Refused,
                             .Reason = RefusalReason::NoClaim,
-                            .ComeBack = Board.Jitter.jitter(Later),
+                            .ComeBack = Board.Jitter.jitter(LongRetryAfter),
                             .Payload = "the claim couldn't be committed"});
   if (outcome->Result == CommandResult::Accepted) {
     request.ClaimHeld = true;
-    // The process may have been frozen: look at the time before acting.
+    // The process may have been suspended: check the deadline before acting.
     if (now >= request.Deadline)
       return expire(now, request);
     return nextAttempt(now, request);
@@ -166,7 +167,7 @@
                   {.Kind = FinalKind::Answered, .Payload = outcome->Answer});
   if (outcome->Result == CommandResult::InProgress)
     return finish(request, {.Kind = FinalKind::Unknown,
-                            .ComeBack = Board.Jitter.jitter(Later),
+                            .ComeBack = Board.Jitter.jitter(LongRetryAfter),
                             .Payload = "an earlier attempt is in progress"});
   if (outcome->Result == CommandResult::AlreadyUnknown)
     return finish(request, unknown("an earlier attempt may have run"));
@@ -190,7 +191,7 @@
       request.Caller.Service.empty() ? Routing : ServiceRouting;
   const std::optional<Route> route = routing.choose(now, query, Board.Members);
   if (!route)
-    return noMoreRoutes(request);
+    return finishUnroutable(request);
   send(now, request, *route);
 }
 
@@ -204,7 +205,7 @@
                                    .OnlyIfResident = route.OnlyIfResident};
   ++request.Attempts;
   Board.Attempts.emplace(id, request.Caller.Key);
-  // What is sent counts until the agent says how loaded it is.
+  // Count the request as running until the agent reports its load.
   if (!route.OnlyIfResident)
     ++member.Load.Running;
   const CallerRequest &caller = request.Caller;
@@ -230,12 +231,12 @@
                                  .OnlyIfResident = route.OnlyIfResident}});
 }
 
-void EntryController::noMoreRoutes(EntryRequest &request) {
+void EntryController::finishUnroutable(EntryRequest &request) {
   FinalAnswer answer{.Kind = FinalKind::Refused,
                      .Reason = RefusalReason::NoBackend,
                      .Payload = "no backend server can take it"};
-  constexpr Duration Later = std::chrono::seconds(1);
-  answer.ComeBack = Board.Jitter.jitter(Later);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
+  answer.ComeBack = Board.Jitter.jitter(LongRetryAfter);
   if (!request.Tried.empty())
     answer.Reason = request.Tried.back().Reason;
   if (request.MayHaveRun)
@@ -310,7 +311,8 @@
   if (message.Reason == RefusalReason::BackendDown)
     suspend(now, host);
   request->Tried.push_back({host, message.Reason, message.Load, probe});
-  // The loads are ordered over all hosts: another host would say the same.
+  // The scheduler orders the loads of all hosts, so another host would give the
+  // same answer.
   const bool last = message.Reason == RefusalReason::LoadBacklog;
   const bool mayGoOn = !isHostFailure(message.Reason) || takeRetry(*request);
   if (mayGoOn && !last)
@@ -343,9 +345,9 @@
   if (!request)
     return;
   noteLoad(host, message.Load);
-  const bool whole = message.Ending == AttemptEnding::Answered &&
-                     message.Tokens == request->Attempt->Tokens;
-  if (!whole)
+  const bool complete = message.Ending == AttemptEnding::Answered &&
+                        message.Tokens == request->Attempt->Tokens;
+  if (!complete)
     return attemptLost(now, *request,
                        message.Payload.empty() ? "the answer broke off"
                                                : message.Payload);
@@ -376,10 +378,10 @@
                             .Tokens = request.DeliveredTokens});
   if (takeRetry(request))
     return nextAttempt(now, request);
-  constexpr Duration Later = std::chrono::seconds(1);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
   finish(request, {.Kind = FinalKind::Failed,
                    .Reason = RefusalReason::BackendDown,
-                   .ComeBack = Board.Jitter.jitter(Later),
+                   .ComeBack = Board.Jitter.jitter(LongRetryAfter),
                    .Payload = why});
 }
 
@@ -436,7 +438,7 @@
       member.Unconfirmed = true;
   std::vector<HostName> gone;
   for (const MemberRecord &it : update.Members) {
-    // Without an agent there is nobody who takes this interface's requests.
+    // A member that registered itself has no agent that accepts these requests.
     if (it.Registered)
       continue;
     MemberView &member = Board.Members[it.Host];
@@ -449,7 +451,7 @@
     member.Record = it;
     member.Unconfirmed = false;
     member.NameHash = stableHash(it.Host.str());
-    member.Drained = isOutOfUse(it);
+    member.Drained = isDrainedOrEvacuated(it);
   }
   if (update.Complete)
     for (auto &[host, member] : Board.Members)
@@ -462,18 +464,18 @@
   });
 }
 
-bool EntryController::isOutOfUse(const MemberRecord &member) const {
+bool EntryController::isDrainedOrEvacuated(const MemberRecord &member) const {
   return Board.Configuration.isDrained(member.Host) ||
          Board.Configuration.isEvacuated(member.Zone);
 }
 
 void EntryController::onDrains() {
   for (auto &[host, member] : Board.Members)
-    member.Drained = isOutOfUse(member.Record);
+    member.Drained = isDrainedOrEvacuated(member.Record);
 }
 
 //===----------------------------------------------------------------------===//
-// The end of a request
+// Final answers
 //===----------------------------------------------------------------------===//
 
 FinalAnswer EntryController::unknown(const std::string &why) const {
@@ -499,7 +501,7 @@
                           .Ending = ending,
                           .Answer = answered ? answer.Payload : std::string(),
                       }},
-      .GiveUpAt = request.Deadline + EndingLifetime});
+      .GiveUpAt = request.Deadline + EndingProposalTimeout});
 }
 
 void EntryController::finish(EntryRequest &request, FinalAnswer answer) {
@@ -515,12 +517,13 @@
 }
 
 void EntryController::expire(TimePoint, EntryRequest &request) {
-  // Also one that asks only for what is resident may be running by now.
+  // An attempt that requires its adapter to be resident may be running by now,
+  // too.
   const bool sent = request.Attempt.has_value();
   FinalAnswer answer{.Kind = FinalKind::TimedOut,
                      .Payload = "no answer within the time given"};
-  constexpr Duration Later = std::chrono::seconds(1);
-  answer.ComeBack = Board.Jitter.jitter(Later);
+  constexpr Duration LongRetryAfter = std::chrono::seconds(1);
+  answer.ComeBack = Board.Jitter.jitter(LongRetryAfter);
   if (!request.Caller.Idempotent && (sent || request.MayHaveRun))
     answer = unknown("no answer within the time given");
   else if (!sent && !request.MayHaveRun)
@@ -538,7 +541,7 @@
     return;
   EntryRequest &request = it->second;
   if (!request.Caller.Idempotent && request.Attempt)
-    return; // Runs to its end: its outcome is recorded for the resend.
+    return; // Runs to its end: its outcome is recorded for a resend.
   const bool mayHaveRun = request.Attempt || request.MayHaveRun;
   finish(request, {.Kind = mayHaveRun ? FinalKind::Failed : FinalKind::Refused,
                    .Payload = "the caller gave it up"});
@@ -547,10 +550,10 @@
 void EntryController::tick(TimePoint now) {
   std::vector<RequestKey> keys;
   for (const auto &[key, request] : Board.Requests) {
-    const bool unheard =
+    const bool notAdmitted =
         request.Attempt && !request.Attempt->Admitted &&
         now - request.Attempt->SentAt > Board.Options.AdmitTimeout;
-    if (now >= request.Deadline || (unheard && request.Caller.Idempotent))
+    if (now >= request.Deadline || (notAdmitted && request.Caller.Idempotent))
       keys.push_back(key);
   }
   std::ranges::sort(keys);
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
@@ -26,8 +26,9 @@
          query.Tried.end();
 }
 
-/// \returns whether the host was asked to load it, too, and said no.
-bool wasTriedInFull(const RouteQuery &query, const HostName &host) {
+/// \returns whether the host refused an attempt for which it could have loaded
+/// the adapter.
+bool wasTriedWithLoad(const RouteQuery &query, const HostName &host) {
   return std::ranges::any_of(query.Tried, [&](const TriedHost &it) {
     return it.Host == host && !it.OnlyIfResident;
   });
@@ -73,7 +74,7 @@
   });
   if (hosts.empty())
     return std::nullopt;
-  const std::size_t first = ++Turn % hosts.size();
+  const std::size_t first = ++RotationCounter % hosts.size();
   std::rotate(hosts.begin(), hosts.begin() + static_cast<std::ptrdiff_t>(first),
               hosts.end());
   const auto load = [](const MemberView *it) {
@@ -125,7 +126,7 @@
   for (const MemberView *it : hosts)
     if (!detail::wasTried(query, it->Record.Host))
       return Route{it->Record.Host, /*OnlyIfResident=*/n > 1};
-  // None of them holds it: have it loaded where the least is lost.
+  // No host has the adapter: load it where the eviction costs least.
   const auto cost = [&](const MemberView *it) {
     constexpr double Thousand = 1000;
     const double used = (it->Load.Running + it->Load.Queued) /
@@ -133,7 +134,7 @@
     return it->Load.VictimValue / Thousand - Options.PackingWeight * used;
   };
   std::erase_if(hosts, [&](const MemberView *it) {
-    return detail::wasTriedInFull(query, it->Record.Host);
+    return detail::wasTriedWithLoad(query, it->Record.Host);
   });
   if (hosts.empty())
     return std::nullopt;
--- a/test/PrefixRoutingTest.cpp
+++ b/test/PrefixRoutingTest.cpp
@@ -19,8 +19,8 @@
   return members;
 }
 
-/// Routes one request, host after host, as an entry does.
-struct Asking {
+/// Routes one request from host to host, as an entry does.
+struct RoutedRequest {
   PrefixRouting Routing{PrefixRoutingOptions{}};
   MemberViews Members = engines(10);
   std::vector<TriedHost> Tried;
@@ -35,7 +35,7 @@
                            .Target = Target},
                           Members);
   }
-  void isBusy(const Route &route, Duration wait, bool holds = false) {
+  void refuseBusy(const Route &route, Duration wait, bool holds = false) {
     Tried.push_back({route.Host,
                      RefusalReason::Busy,
                      {},
@@ -43,8 +43,8 @@
                      wait,
                      holds});
   }
-  /// The host would have to load it.
-  void lacks(const Route &route, Duration wait) {
+  /// The host refuses because it would have to load the adapter.
+  void refuseNotResident(const Route &route, Duration wait) {
     Tried.push_back(
         {route.Host, RefusalReason::NotResident, {}, true, wait, false});
   }
@@ -52,96 +52,99 @@
 
 } // namespace
 
-TEST_CASE("when all that were asked are busy, the one with the shortest wait "
-          "takes the request") {
-  Asking asking;
+TEST_CASE("when all asked engines are busy the one with the shortest wait gets "
+          "the request") {
+  RoutedRequest routed;
   std::vector<HostName> asked;
   const Duration waits[] = {1500ms, 1200ms, 900ms, 1100ms};
   for (const Duration wait : waits) {
-    const auto route = asking.next();
+    const auto route = routed.next();
     REQUIRE(route);
     CHECK(route->FirstEventWithin > Duration::zero());
     asked.push_back(route->Host);
-    asking.isBusy(*route, wait);
+    routed.refuseBusy(*route, wait);
   }
-  const auto last = asking.next();
+  const auto last = routed.next();
   REQUIRE(last);
   CHECK(last->Host == asked[2]);
   CHECK(last->FirstEventWithin == Duration::zero());
 }
 
-TEST_CASE("limits are parts of the time until the first event has to come") {
-  Asking asking;
-  const Route usual = *asking.next();
+TEST_CASE(
+    "the wait limits are shares of the time until the first event is due") {
+  RoutedRequest routed;
+  const Route usual = *routed.next();
   CHECK(usual.FirstEventWithin == 700ms);
-  asking.Target = 500ms;
-  CHECK(asking.next()->FirstEventWithin == 350ms);
-  asking.isBusy(usual, 1s);
-  CHECK(asking.next()->FirstEventWithin == 450ms);
+  routed.Target = 500ms;
+  CHECK(routed.next()->FirstEventWithin == 350ms);
+  routed.refuseBusy(usual, 1s);
+  CHECK(routed.next()->FirstEventWithin == 450ms);
 }
 
-TEST_CASE("a host that is out for another reason isn't asked again") {
-  Asking asking;
+TEST_CASE("a host that refused for another reason is not asked again") {
+  RoutedRequest routed;
   for (int i = 0; i < 10; ++i) {
-    const auto route = asking.next();
+    const auto route = routed.next();
     REQUIRE(route);
-    asking.Tried.push_back({route->Host, RefusalReason::BackendDown});
+    routed.Tried.push_back({route->Host, RefusalReason::BackendDown});
   }
-  CHECK(!asking.next());
+  CHECK(!routed.next());
 }
 
 TEST_CASE("the same adapter and prefix are sent to the same engine") {
-  Asking one;
-  Asking other;
+  RoutedRequest one;
+  RoutedRequest other;
   for (std::uint64_t prefix = 1; prefix < 20; ++prefix)
     CHECK(one.next(prefix)->Host == other.next(prefix)->Host);
 }
 
-// The weight store is crowded and a load takes 400 of the 500 ms that a first
-// event has: engines that don't have the adapter can't be sooner, and each that
-// is made to load it makes the store's queue longer. On one day 298 of 716
-// loads were further copies.
-TEST_CASE("an adapter that nobody has is loaded at its own engine") {
-  Asking asking;
-  asking.Target = 500ms;
-  const Route own = *asking.next();
+// The weight store is congested, and a load takes 400 ms of the 500 ms until
+// the first event is due. Engines without the adapter cannot be faster, and
+// each further load lengthens the queue of the store: 298 of 716 loads in one
+// run were further copies.
+TEST_CASE(
+    "an adapter that no engine has is loaded on the adapter's own engine") {
+  RoutedRequest routed;
+  routed.Target = 500ms;
+  const Route own = *routed.next();
   CHECK_FALSE(own.OnlyIfResident);
-  SECTION("on time") {
-    asking.isBusy(own, 400ms);
+  SECTION("its own engine would be on time") {
+    routed.refuseBusy(own, 400ms);
     for (int i = 0; i < 3; ++i) {
-      const Route route = *asking.next();
+      const Route route = *routed.next();
       CHECK(route.OnlyIfResident);
-      asking.lacks(route, 400ms);
+      routed.refuseNotResident(route, 400ms);
     }
   }
-  SECTION("late, and little sooner elsewhere") {
-    asking.isBusy(own, 900ms);
+  SECTION("its own engine would be late and the others little faster") {
+    routed.refuseBusy(own, 900ms);
     for (int i = 0; i < 3; ++i)
-      asking.lacks(*asking.next(), 700ms);
+      routed.refuseNotResident(*routed.next(), 700ms);
   }
-  const Route last = *asking.next();
+  const Route last = *routed.next();
   CHECK(last.Host == own.Host);
   CHECK_FALSE(last.OnlyIfResident);
 }
 
-TEST_CASE("an engine with room loads what its own one is too busy for") {
-  Asking asking;
-  asking.Target = 500ms;
-  asking.isBusy(*asking.next(), 2s, /*holds=*/true);
-  const Route first = *asking.next();
-  asking.lacks(first, 280ms);
-  asking.lacks(*asking.next(), 280ms);
-  asking.lacks(*asking.next(), 280ms);
-  CHECK(asking.next()->Host == first.Host);
+TEST_CASE("an idle engine loads an adapter when its own engine is too busy") {
+  RoutedRequest routed;
+  routed.Target = 500ms;
+  routed.refuseBusy(*routed.next(), 2s, /*holds=*/true);
+  const Route first = *routed.next();
+  routed.refuseNotResident(first, 280ms);
+  routed.refuseNotResident(*routed.next(), 280ms);
+  routed.refuseNotResident(*routed.next(), 280ms);
+  CHECK(routed.next()->Host == first.Host);
 }
 
-TEST_CASE("when all are late, one that has the adapter goes before a copy") {
-  Asking asking;
-  asking.Target = 500ms;
-  asking.isBusy(*asking.next(), 2s);
-  asking.lacks(*asking.next(), 1000ms);
-  const Route holder = *asking.next();
-  asking.isBusy(holder, 1100ms, /*holds=*/true);
-  asking.lacks(*asking.next(), 1000ms);
-  CHECK(asking.next()->Host == holder.Host);
+TEST_CASE("when all engines would be late one that has the adapter is "
+          "preferred to a further copy") {
+  RoutedRequest routed;
+  routed.Target = 500ms;
+  routed.refuseBusy(*routed.next(), 2s);
+  routed.refuseNotResident(*routed.next(), 1000ms);
+  const Route holder = *routed.next();
+  routed.refuseBusy(holder, 1100ms, /*holds=*/true);
+  routed.refuseNotResident(*routed.next(), 1000ms);
+  CHECK(routed.next()->Host == holder.Host);
 }
