--- a/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
+++ b/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
@@ -9,13 +9,13 @@
 /// \class AdaptiveLoadsOptions
 /// \ingroup Serving
 struct AdaptiveLoadsOptions {
-  /// Loads under way at one time, at most.
+  /// Maximum number of concurrent loads.
   double Most = 4;
-  /// Loads that take this many times the quickest one count as slowed down by
-  /// those of others.
+  /// A load that takes this many times the fastest one counts as slowed down by
+  /// the loads of other agents.
   double SlowFactor = 1.5;
-  /// Added to the limit by a load at full speed, and the part that is left of
-  /// it after a slow one (additive increase, multiplicative decrease; Chiu and
+  /// Added to the limit after a load at full speed, and factor applied to it
+  /// after a slow one (additive increase, multiplicative decrease; Chiu and
   /// Jain, 1989).
   double Increase = 0.5;
   double Decrease = 0.5;
@@ -24,14 +24,15 @@
 
 /// \class AdaptiveLoads
 /// \ingroup Serving
-/// \brief Loads what most wait for, as many at a time as the weight store
-/// brings at full speed.
+/// \brief Loads the adapter with the highest utility first, with as many
+/// concurrent loads as the weight store serves at full speed.
 ///
-/// The store shares itself among all loads under way: with too many of them all
-/// come late together, with few the first ones come soon and the last ones no
-/// later. No agent knows of the others; each sees in its own loads whether the
-/// store is crowded, and takes back. Use it where the store's capacity isn't
-/// known or no scheduler is near; ScheduledLoads where it is.
+/// The store divides its bandwidth among all loads in progress: with too many
+/// of them all end late together, with few the first ones end soon and the last
+/// ones no later. Agents do not know of each other; each detects congestion of
+/// the store from its own load times and reduces its limit. Use it where the
+/// store's capacity is unknown or no scheduler is near, and ScheduledLoads
+/// where the capacity is known.
 class AdaptiveLoads : public LoadGate {
 public:
   explicit AdaptiveLoads(const AdaptiveLoadsOptions &options)
@@ -41,7 +42,7 @@
                                  const std::vector<Demand> &demands) override;
   void onLoadEnded(TimePoint now, AgentBoard &board, const AdapterKey &key,
                    Duration took) override;
-  /// \returns the loads that may be under way now.
+  /// \returns how many loads may be in progress now.
   double limit() const { return Limit; }
 
 private:
--- a/packages/serving/pimentofront/src/Serving/EvictionPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/EvictionPolicy.h
@@ -8,8 +8,9 @@
 
 /// \class EvictionPolicy
 /// \ingroup Serving
-/// \brief What an adapter in a slot is worth; the one worth least goes first.
-/// Which slots may be given up at all isn't its business.
+/// \brief Computes the utility of keeping an adapter in its slot; the one with
+/// the lowest utility is evicted first. Which slots may be evicted at all is
+/// decided elsewhere (see mayEvict()).
 class EvictionPolicy {
 public:
   virtual ~EvictionPolicy() = default;
@@ -19,7 +20,7 @@
 
 /// \class LeastRecentlyUsed
 /// \ingroup Serving
-/// \brief Gives up what was used longest ago; a baseline.
+/// \brief Evicts the adapter that was used longest ago; a baseline.
 class LeastRecentlyUsed : public EvictionPolicy {
 public:
   double worthOf(TimePoint now, const Slot &slot,
@@ -28,7 +29,7 @@
 
 /// \class LeastPopular
 /// \ingroup Serving
-/// \brief Gives up what is asked for least by the decayed count.
+/// \brief Evicts the adapter with the lowest popularity (see PopularityTable).
 class LeastPopular : public EvictionPolicy {
 public:
   double worthOf(TimePoint now, const Slot &slot,
--- a/packages/serving/pimentofront/src/Serving/KnownRateLimit.h
+++ b/packages/serving/pimentofront/src/Serving/KnownRateLimit.h
@@ -9,23 +9,23 @@
 
 /// \class KnownRateLimit
 /// \ingroup Serving
-/// \brief What one process knows of the limit that a backend server names.
-/// Words on it arrive in any order; the newest holds.
+/// \brief What one process knows of the rate limit that a backend server names.
+/// Reports of it arrive in any order; the newest one is in force.
 class KnownRateLimit {
 public:
-  /// \returns whether another limit holds now, or none any more.
+  /// \returns whether the limit in force changed or ended.
   bool apply(TimePoint now, const RateLimit &word);
   bool isNamed() const { return Limit.Named; }
   double perSecond() const { return Limit.perSecond(); }
-  /// \returns what to tell others, with its age.
+  /// \returns the limit with its age, to be sent to other processes.
   RateLimit at(TimePoint now) const;
   friend auto operator<=>(const KnownRateLimit &,
                           const KnownRateLimit &) = default;
 
 private:
-  /// Its age isn't set.
+  /// Without its age; see SaidAt.
   RateLimit Limit;
-  /// When the limit, or its end, was said.
+  /// When the server named the limit or its end.
   std::optional<TimePoint> SaidAt;
 };
 
--- a/packages/serving/pimentofront/src/Serving/LoadController.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadController.cpp
@@ -9,8 +9,8 @@
   for (const auto &[key, queue] : Board.Waiting) {
     if (Board.Slots.isReady(key) || Board.Slots.isLoading(key))
       continue;
-    // A replacement goes into the slot of the version before, once that one
-    // serves nobody.
+    // A new version goes into the slot of the previous one, once that one
+    // serves no request.
     const Slot *former = Board.Slots.otherVersion(key);
     if (former && !mayEvict(*former, Board.Waiting))
       continue;
@@ -61,7 +61,8 @@
     return;
   while (true) {
     const Room room = findRoom(now);
-    // Without room no load could begin, so none is asked for.
+    // Without a free or evictable slot no load could begin, so none is
+    // requested.
     const std::vector<Demand> open =
         room.Found ? demands(now) : std::vector<Demand>();
     const std::optional<AdapterKey> key = Gate.next(now, Board, open);
@@ -85,8 +86,9 @@
                                  bool succeeded, Duration took) {
   --Board.LoadsUnderWay;
   if (!Board.Slots.isLoading(key)) {
-    // The engine went away meanwhile: that says nothing of the adapter. But the
-    // order may have reached the new one: what it holds must be asked anew.
+    // The engine exited during the load, which says nothing about the adapter.
+    // The order may have reached the new engine process, so the adapters that
+    // this one holds have to be queried again.
     Board.EngineIdleSince.reset();
     return;
   }
--- a/packages/serving/pimentofront/src/Serving/LoadController.h
+++ b/packages/serving/pimentofront/src/Serving/LoadController.h
@@ -8,8 +8,9 @@
 
 /// \class LoadController
 /// \ingroup Serving
-/// \brief Has adapters loaded for which requests wait, in a slot that is empty
-/// or whose adapter is worth least. One load serves all that wait for it.
+/// \brief Loads the adapters that requests wait for, into an empty slot or in
+/// place of the adapter with the lowest utility. One load serves all requests
+/// that wait for its adapter.
 class LoadController {
 public:
   LoadController(AgentBoard &board, LoadGate &gate,
--- a/packages/serving/pimentofront/src/Serving/LoadGate.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadGate.cpp
@@ -10,8 +10,8 @@
   return std::ranges::find(demands, key, &Demand::Key) != demands.end();
 }
 
-/// A demand is told again when its weight has grown by half, or after a while
-/// in case the scheduler is a new one.
+/// A demand is sent again when its weight has grown by half or dropped by half,
+/// or after this time in case a new scheduler has taken over.
 constexpr Duration TellAgainAfter = std::chrono::seconds(1);
 bool changedMuch(const Demand &before, const Demand &now) {
   return 2 * now.Weight > 3 * before.Weight || 2 * now.Weight < before.Weight;
--- a/packages/serving/pimentofront/src/Serving/LoadGate.h
+++ b/packages/serving/pimentofront/src/Serving/LoadGate.h
@@ -7,49 +7,50 @@
 
 /// \class Demand
 /// \ingroup Serving
-/// \brief Requests that wait here for one adapter.
+/// \brief Requests at this agent that wait for one adapter.
 struct Demand {
   AdapterKey Key;
   std::uint32_t Weight = 0;
-  /// Time until the first of them is useless, or late.
+  /// Time until the first of them is late (its first-event target) or has
+  /// waited as long as it may.
   Duration Slack = Duration::zero();
-  /// What a load that begins now is worth: the weight of those that it lets be
-  /// on time, and a part of the others'.
+  /// Utility of a load that begins now: the weight of the requests that it lets
+  /// be on time, and a part of the weight of the others.
   double Worth = 0;
   friend auto operator<=>(const Demand &, const Demand &) = default;
 };
 
-/// \returns the demand whose load is worth most, then the one with the most
-/// weight waiting, then with the least slack; null when there is none. While
-/// the store is crowded, the least slack alone would bring each adapter just
-/// too late.
+/// \returns the demand whose load has the highest utility, then the one with
+/// the most weight waiting, then the one with the least slack; null when there
+/// is none. Ordering by slack alone would, while the store is congested, load
+/// each adapter just too late.
 const Demand *worthiestDemand(const std::vector<Demand> &demands);
 
 /// \class LoadGate
 /// \ingroup Serving
-/// \brief Says which adapter this agent may load now: how the agents share the
-/// weight store.
+/// \brief Decides which adapter this agent may load now: how the agents share
+/// the weight store.
 class LoadGate {
 public:
   virtual ~LoadGate() = default;
-  /// \returns a demand whose load may begin now. \p demands are those that
-  /// could begin, as far as slots go.
+  /// \returns a demand whose load may begin now. \p demands are those for which
+  /// a slot is available.
   virtual std::optional<AdapterKey>
   next(TimePoint now, AgentBoard &board,
        const std::vector<Demand> &demands) = 0;
-  /// The engine has come, or come back, and holds nothing that is wanted yet.
+  /// The engine has started or restarted and holds no adapter that is needed.
   virtual void onEngineReady(TimePoint) {}
   virtual void onTicket(TimePoint, AgentBoard &, const LoadTicket &) {}
   virtual void onStatus(TimePoint, AgentBoard &, const LoadQueueStatus &) {}
   virtual void onMembers(std::uint32_t) {}
-  /// A load that next() let begin has ended.
+  /// A load that next() allowed to begin has ended.
   virtual void onLoadEnded(TimePoint, AgentBoard &, const AdapterKey &,
                            Duration) {}
 };
 
 /// \class UncoordinatedLoads
 /// \ingroup Serving
-/// \brief Loads at once whatever is demanded; a baseline.
+/// \brief Begins a load for every demand at once; a baseline.
 class UncoordinatedLoads : public LoadGate {
 public:
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
@@ -58,12 +59,13 @@
 
 /// \class StaticShare
 /// \ingroup Serving
-/// \brief A fixed share of the weight store's rate for each agent, one load at
-/// a time; what is used while the scheduler is away.
+/// \brief Gives each agent a fixed share of the weight store's rate, one load
+/// at a time; the default fallback while the scheduler is unavailable.
 class StaticShare : public LoadGate {
 public:
-  /// \param loadsPerSecond what the weight store allows in all.
-  /// \param members agents that share it, until more is known.
+  /// \param loadsPerSecond total rate that the weight store allows.
+  /// \param members number of agents that share it, until onMembers() reports
+  /// another one.
   StaticShare(double loadsPerSecond, std::uint32_t members);
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) override;
@@ -80,15 +82,17 @@
 
 /// \class ScheduledLoads
 /// \ingroup Serving
-/// \brief Loads when the central scheduler gives a ticket; falls back to
-/// another gate, a static share if none is named, when the scheduler is silent
-/// for too long.
+/// \brief Begins a load when the central scheduler issues a ticket for it.
+/// Falls back to another gate (a StaticShare if none is given) when the
+/// scheduler has not answered for too long.
 class ScheduledLoads : public LoadGate {
 public:
-  /// \param silence after which the scheduler counts as away.
+  /// \param silence time without an answer after which the scheduler counts as
+  /// unavailable.
   ScheduledLoads(double loadsPerSecond, std::uint32_t members,
                  Duration silence = std::chrono::seconds(2));
-  /// \param fallback decides while the scheduler is away; outlives this gate.
+  /// \param fallback decides while the scheduler is unavailable; must outlive
+  /// this gate.
   ScheduledLoads(LoadGate &fallback, Duration silence);
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) override;
@@ -105,7 +109,7 @@
                    const std::vector<Demand> &demands);
   void returnTicket(AgentBoard &board, const LoadTicket &ticket);
   bool schedulerAway(TimePoint now) const;
-  /// \returns who decides while the scheduler is away.
+  /// \returns the gate that decides while the scheduler is unavailable.
   LoadGate &fallback() { return Given ? *Given : *Share; }
 
   struct Told {
@@ -115,7 +119,7 @@
   std::optional<StaticShare> Share;
   LoadGate *Given = nullptr;
   Duration Silence;
-  /// Set while a demand has had no answer.
+  /// Set while no answer to a demand has been received.
   std::optional<TimePoint> AskedAt;
   std::map<AdapterKey, Told> ToldDemands;
   std::vector<LoadTicket> Tickets;
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration ArrivalHalfLife = std::chrono::seconds(20);
-/// Bounds the table of arrivals; weights above count as this.
+/// Bounds the table of arrivals; higher weights count as this one.
 constexpr std::uint32_t MaxCountedWeight = 256;
 
 } // namespace
@@ -43,17 +43,17 @@
   waiting.Weight = demand.WaitingWeight;
   waiting.Deadline = now + demand.Slack;
   waiting.HeardAt = now;
-  // The wait isn't told where only the order is decided here.
+  // With `Measured` the scheduler only decides the order and reports no wait.
   if (Options.Measured)
     return {.Key = demand.Key};
   const Rank rank = rankOf(now, waiting);
   std::size_t ahead = Issued.size();
   for (const auto &[other, theirs] : Demands)
-    // Of equals, those that were there before go first.
+    // Of equals, the earlier ones go first.
     if (other != id && rankOf(now, theirs) <= rank)
       ++ahead;
-  // Those who come later with more weight lengthen the wait (the formula of a
-  // queue with priorities, Cobham, 1954).
+  // Demands of a higher weight that arrive later lengthen the wait (formula for
+  // a priority queue, Cobham, 1954).
   constexpr double MostOvertaking = 0.95;
   const double overtaking =
       std::min(overtakingShare(now, waiting.Weight), MostOvertaking);
@@ -129,7 +129,7 @@
     ShrunkAt = now;
     return;
   }
-  // It grows only where that would let more begin.
+  // While no demand waits, a higher limit would not let more loads begin.
   if (Demands.empty())
     return;
   constexpr double GrowthEachRound = 2;
@@ -153,8 +153,8 @@
 std::vector<IssuedTicket> LoadScheduler::run(TimePoint now) {
   expire(now);
   std::vector<IssuedTicket> result;
-  // A ticket moves its host from those that ask to those that load, so that the
-  // limit stays the same meanwhile.
+  // A ticket moves its host from the demands to the issued tickets, so the
+  // number of hosts, and with it the limit, stays the same within this loop.
   const std::size_t most = limit();
   while (Issued.size() < most && now >= NextAllowed && !Demands.empty()) {
     const auto best = std::ranges::min_element(
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.h
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.h
@@ -14,37 +14,39 @@
 /// \class LoadSchedulerOptions
 /// \ingroup Serving
 struct LoadSchedulerOptions {
-  /// What the weight store allows; not used with `Measured`.
+  /// Rate that the weight store allows; not used with `Measured`.
   double LoadsPerSecond = 4;
-  /// Loads at one time; the weight store is at full speed with one. With
-  /// `Measured`, at least so many at first.
+  /// Maximum number of concurrent loads; the weight store is at full speed with
+  /// one. With `Measured`, the minimum of the limit during slow start.
   std::uint32_t Concurrent = 1;
-  /// Nobody knows what the store takes: it is learned from how long loads take.
+  /// The capacity of the store is unknown and learned from how long loads take.
   bool Measured = false;
-  /// Until the first load has come: this part of the hosts that ask may load at
-  /// one time.
+  /// During slow start, at least this part of the hosts with demands or tickets
+  /// may load concurrently.
   double FirstShare = 0.25;
-  /// Added to the loads at one time by each load at full speed, until the first
-  /// slow one: half as many again in the time of a load, so that four such
-  /// times find what the store takes, and the last of them isn't far beyond it.
+  /// Growth of the limit for each load at full speed, until the first slow one.
+  /// 0.5 makes the limit grow by half in the time of one load, so that about
+  /// four load times reach the store's capacity without overshooting it far in
+  /// the last one.
   double SlowStartGrowth = 0.5;
-  /// Loads that take this many times the quickest one say that too many are on
-  /// their way; a tenth is how they differ at full speed.
+  /// A load that takes this many times the fastest one shows that too many are
+  /// in progress. Load times vary by about a tenth at full speed.
   double SlowFactor = 1.2;
-  /// What is left of the loads at one time when they were slow, beside what
-  /// would have been at full speed; never less than half.
+  /// After a slow load the limit is multiplied by this value over the slowdown,
+  /// so that it stays a tenth above what the store served at full speed; never
+  /// by less than one half.
   double KeptAfterSlow = 1.1;
-  /// What a load takes, until some have been measured.
+  /// Expected time of a load until some have been measured.
   Duration LoadTime = std::chrono::milliseconds(250);
-  /// A ticket that hasn't come back after this many load times is lost.
+  /// A ticket that has not been returned after this many load times is lost.
   std::uint32_t LostAfterLoadTimes = 8;
-  /// A demand that isn't told again for so long has gone.
+  /// A demand that has not been repeated for this time is dropped.
   Duration DemandLifetime = std::chrono::seconds(3);
 };
 
 /// \class IssuedTicket
 /// \ingroup Serving
-/// \brief A ticket and the host it goes to.
+/// \brief A ticket and the host that receives it.
 struct IssuedTicket {
   HostName Host;
   LoadTicket Ticket;
@@ -52,28 +54,30 @@
 
 /// \class LoadScheduler
 /// \ingroup Serving
-/// \brief Orders the adapter loads of all hosts under the rate of the weight
-/// store, or as many at one time as the store takes at full speed, learned like
-/// a window of congestion control (slow start and additive increase, Jacobson,
-/// 1988; the decrease follows the slowdown itself). Soft state: a new one
-/// learns the demands within a second, since agents tell them again.
+/// \brief Orders the adapter loads of all hosts, limited by the rate of the
+/// weight store, or with `Measured` by the number of concurrent loads that the
+/// store serves at full speed. That number is learned like a congestion window
+/// (slow start and additive increase, Jacobson, 1988; the decrease follows the
+/// slowdown itself). Soft state: a new scheduler learns the demands within a
+/// second, since agents send them again.
 ///
-/// Loads cost about the same, so the order with the most weight first ends the
-/// most waiting soonest (Smith's rule, 1956); demands that can't be met in
-/// time any more stand behind those that can.
+/// All loads cost about the same, so that loading for the largest waiting
+/// weight first minimizes the weighted waiting time (Smith's rule, 1956).
+/// Demands that can't meet their deadline any more are ordered behind those
+/// that can.
 class LoadScheduler {
 public:
   explicit LoadScheduler(const LoadSchedulerOptions &options);
 
-  /// \returns what to answer the agent.
+  /// \returns the reply to the agent.
   LoadQueueStatus onDemand(TimePoint now, const LoadDemand &demand);
   void onDone(TimePoint now, const LoadDone &done);
   /// A host has left or lost its lease.
   void forgetHost(const HostName &host);
-  /// \returns the tickets that may be given out now.
+  /// \returns the tickets that may be issued now.
   std::vector<IssuedTicket> run(TimePoint now);
   std::size_t waiting() const { return Demands.size(); }
-  /// \returns the loads that may be under way at one time now.
+  /// \returns how many loads may be in progress at one time.
   std::size_t limit() const;
 
 private:
@@ -92,7 +96,7 @@
     HostName Host;
     TimePoint IssuedAt;
   };
-  /// Place in the order of loads; smaller goes first.
+  /// Position in the order of loads; smaller goes first.
   struct Rank {
     bool Hopeless = false;
     double NegativeScore = 0;
@@ -100,12 +104,12 @@
     friend auto operator<=>(const Rank &, const Rank &) = default;
   };
   Rank rankOf(TimePoint now, const Waiting &waiting) const;
-  /// \returns the part of the loads that go to demands of more weight, which
-  /// are still to come and will overtake.
+  /// \returns the share of the loads that will go to demands of a higher weight
+  /// that have yet to arrive and overtake this one.
   double overtakingShare(TimePoint now, std::uint32_t weight) const;
   void noteArrival(TimePoint now, std::uint32_t weight);
   Duration timeOfLoad() const;
-  /// Learns what the store takes from a load that has ended.
+  /// Updates the limit from a load that has ended.
   void learn(TimePoint now, const Outstanding &load, Duration took);
   void expire(TimePoint now);
 
@@ -115,15 +119,17 @@
   std::uint64_t LastTicket = 0;
   Duration LoadTime;
   TimePoint NextAllowed;
-  /// Some hundred loads a second come from all hosts together: believed to be
-  /// slower by as much in a time as an agent of its own loads.
+  /// Receives some hundred loads a second from all hosts together, so its
+  /// estimate ages less with each load than an agent's, and about as much over
+  /// time.
   StoreSpeed Speed{{.Forget = 0.00002}};
-  /// Loads at one time, learned.
+  /// The learned limit of concurrent loads.
   double Window = 0;
-  /// Loads begun before this say what was too many already.
+  /// When the limit was last reduced. Slow loads that were issued before do not
+  /// reduce it again.
   TimePoint ShrunkAt;
   bool SlowStart = true;
-  /// Decayed counts of new demands by their weight at first.
+  /// Decayed counts of new demands by their initial weight.
   struct Arrivals {
     double Count = 0;
     TimePoint At;
--- a/packages/serving/pimentofront/src/Serving/Popularity.cpp
+++ b/packages/serving/pimentofront/src/Serving/Popularity.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// A request belongs to a session when it comes within this many session
-/// half-lives after the one before.
+/// half-lives after the previous one.
 constexpr int HorizonHalfLives = 2;
-/// Weight of the newest request in what is learned of sessions.
+/// Weight of the newest request in the learned session fractions.
 constexpr double LearningRate = 1.0 / 256;
 
 } // namespace
@@ -34,8 +34,9 @@
 
 double PopularityTable::worth(TimePoint now, const Count &count) const {
   const double faded = remainingShare(now - count.At, Options.SessionHalfLife);
-  // The share is spread over the session's half-life, the count over the long
-  // one: their ratio makes both requests in a long half-life.
+  // The session share is spread over the session's half-life, the count over
+  // the long one: their ratio converts the share to requests in a long
+  // half-life.
   const double ratio =
       toSeconds(Options.HalfLife) / toSeconds(Options.SessionHalfLife);
   return decayed(now, count) + sessionShare() * faded * ratio;
@@ -62,8 +63,9 @@
     forgetHalf(now);
   Count &count = Counts[key];
   learn(now, count);
-  // A request that follows within a session tells little of the standing
-  // popularity: it counts as far as it would have come without the session.
+  // A request that follows within a session says little about the long-term
+  // popularity: it counts by the probability that it would have come without
+  // the session.
   const bool follows = isFollowed(now, count);
   const double weight =
       follows && Followed > 0 ? 1 - sessionShare() / Followed : 1;
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
@@ -3,13 +3,13 @@
 namespace pimentofront {
 namespace {
 
-/// No server is cold for longer; a mistaken word must not slow it for good.
+/// No server is cold for longer; a wrong report must not slow it down for good.
 constexpr Duration LongestCold = std::chrono::minutes(5);
 
 } // namespace
 
 bool RequestPacer::apply(TimePoint now, const RateLimit &limit) {
-  // What was saved up so far came at the former rate.
+  // Tokens saved up so far accrued at the former rate.
   fill(now);
   const bool wasPaced = paces(now);
   const bool changed = Known.apply(now, limit);
@@ -69,7 +69,7 @@
     return Duration::zero();
   const Duration cold = std::max(ColdUntil - now, Duration::zero());
   const double whileCold = coldRate() * toSeconds(cold);
-  // Rounded up: whoever comes back then must not be early.
+  // Rounded up, so that a request that returns then is not too early.
   constexpr Duration RoundUp(1);
   if (missing <= whileCold)
     return fromSeconds(missing / coldRate()) + RoundUp;
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.h
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.h
@@ -10,56 +10,59 @@
 /// \class RequestPacer
 /// \ingroup Serving
 /// \brief Paces the requests that all entries together send to one backend
-/// server which names a limit, or is cold: a token bucket that starts empty.
+/// server that names a rate limit or is cold: a token bucket that starts empty.
 ///
 /// There is one for each server: at the agent beside an engine, at the leader
-/// of the replicas for a server without one. Of a limit and a cold start the
-/// lower one holds. A cold start ends by its time; words on it only make that
-/// longer, since an entry may not have heard the newest one.
+/// of the replicas for a server without an agent. When both a limit and a cold
+/// start apply, the lower rate counts. A cold start ends when its time has
+/// passed; reports of it can only prolong it, since an entry may not have
+/// received the newest one.
 class RequestPacer {
 public:
-  /// \param burst requests that may be saved up: more of them would come all at
-  /// once to a server that is in need.
+  /// \param burst maximum number of requests that may be saved up; a higher one
+  /// would send more requests at once to a server that is overloaded.
   explicit RequestPacer(double burst = 2) : Burst(burst) {}
 
-  /// Requests a second that are sent however low the limit is: without an
-  /// answer nobody learns that it has ended.
+  /// Minimum rate in requests per second, applied however low the limit is:
+  /// only an answer can tell that the limit has ended.
   static constexpr double ProbeRate = 0.25;
 
-  /// \returns whether another limit is in force now, or none any more.
+  /// \returns whether the limit in force changed or ended.
   bool apply(TimePoint now, const RateLimit &limit);
-  /// \returns whether the server is cold for longer than was known.
+  /// \returns whether the cold start was prolonged.
   bool applyCold(TimePoint now, const ColdStart &cold);
-  /// Another process of the server runs now, and names no limit so far. A cold
-  /// start holds on: an entry that hasn't heard of that process yet may still
-  /// name the former one.
+  /// The server's process was replaced, and the new one has named no limit yet.
+  /// The cold start stays in force, because an entry that does not know of the
+  /// new process yet may still name the former one.
   void reset();
   /// \returns whether the server names a limit.
   bool isLimited() const { return Known.isNamed(); }
   bool isCold(TimePoint now) const { return now < ColdUntil; }
-  /// \returns whether requests are counted now.
+  /// \returns whether requests are paced now.
   bool paces(TimePoint now) const { return isLimited() || isCold(now); }
-  /// \returns how long one request's share of the pace takes; zero if requests
-  /// aren't counted now.
+  /// \returns the time between two requests at the current rate; zero if
+  /// requests are not paced now.
   Duration interval(TimePoint now) const;
-  /// \returns what to tell others of the limit.
+  /// \returns the limit with its age, to be sent to other processes.
   RateLimit limit(TimePoint now) const { return Known.at(now); }
-  /// \returns how long it takes until a request may be sent that has \p ahead
-  /// others before it.
+  /// \returns the time until a request may be sent that has \p ahead others
+  /// before it.
   Duration wait(TimePoint now, std::size_t ahead) const;
-  /// \returns whether a request may be sent now, and counts it.
+  /// \returns whether a request may be sent now; counts it if so.
   bool take(TimePoint now) {
     return reserve(now, Duration::zero()).has_value();
   }
-  /// Counts a request that may be sent within \p ahead.
-  /// \returns when it may; nothing if that would be later.
+  /// Reserves a request that may be sent within \p ahead.
+  /// \returns the delay after which it may be sent; nothing if that is longer
+  /// than \p ahead.
   std::optional<Duration> reserve(TimePoint now, Duration ahead);
 
 private:
-  /// \returns the requests a second that the limit lets through.
+  /// \returns the rate that the limit allows, in requests per second.
   /// \pre the server is limited.
   double limitRate() const { return std::max(Known.perSecond(), ProbeRate); }
-  /// \returns the requests a second that are let through while it is cold.
+  /// \returns the rate that is allowed while the server is cold, in requests
+  /// per second.
   double coldRate() const;
   void fill(TimePoint now);
   double levelAt(TimePoint now) const;
@@ -68,7 +71,7 @@
   KnownRateLimit Known;
   double ColdPerSecond = 0;
   TimePoint ColdUntil;
-  /// Below 0 while requests are reserved.
+  /// Tokens in the bucket; negative while requests are reserved.
   double Level = 0;
   TimePoint FilledAt;
 };
--- a/packages/serving/pimentofront/src/Serving/SendPermitLedger.cpp
+++ b/packages/serving/pimentofront/src/Serving/SendPermitLedger.cpp
@@ -5,18 +5,19 @@
 namespace pimentofront {
 namespace {
 
-/// The longest that an entry is told to wait before it asks again: the limit
-/// may have ended or risen.
+/// Maximum retry-after given to an entry: the limit may end or rise before a
+/// longer one is over.
 constexpr Duration MostComeBack = std::chrono::seconds(3);
-/// Permits are given so long before they may be used: whoever has to ask again
-/// comes late, and the limit isn't used up. Short, since a limit that falls
-/// doesn't take them back.
+/// How long before its use a permit may be granted. An entry that has to ask
+/// again comes late, and part of the limit stays unused. Short, since a limit
+/// that falls does not revoke permits.
 constexpr Duration GivenAhead = std::chrono::milliseconds(200);
-/// A permit lapses after the time of one request, within these bounds: a reply
-/// takes some round trips, and an entry without work is no place to keep it.
+/// A permit expires after the time between two requests, within these bounds: a
+/// reply takes some round trips, and an entry without work should not keep a
+/// permit.
 constexpr Duration LeastLifetime = std::chrono::milliseconds(100);
 constexpr Duration MostLifetime = std::chrono::seconds(1);
-/// A server of which nobody has asked for so long is forgotten.
+/// A server is forgotten when no entry has asked for it for this time.
 constexpr Duration KeptUnused = std::chrono::seconds(30);
 
 } // namespace
@@ -46,7 +47,7 @@
   if (server.Pacer.paces(now)) {
     const Duration interval = server.Pacer.interval(now);
     reply.Lifetime = std::clamp(interval, LeastLifetime, MostLifetime);
-    // Those whose time has come are there, or don't come.
+    // Entries whose retry-after has passed have asked again or never will.
     const double due = toSeconds(now - server.AskedAt) / toSeconds(interval);
     server.Promised = std::max(server.Promised - due, 0.0);
   }
--- a/packages/serving/pimentofront/src/Serving/SendPermitLedger.h
+++ b/packages/serving/pimentofront/src/Serving/SendPermitLedger.h
@@ -9,28 +9,28 @@
 
 /// \class SendPermitLedger
 /// \ingroup Serving
-/// \brief Paces the sends of all entries to limited or cold backend servers
+/// \brief Paces the requests of all entries to limited or cold backend servers
 /// that have no agent beside them.
 ///
-/// Only the leader of the replicas keeps one, under its lease, so there is one
-/// at any time. It is soft state: entries name the limit with each query, and a
-/// pacer starts empty, so that what a former leader permitted is no burst more.
-/// While no leader answers, such a server gets no requests.
+/// Only the leader of the replicas has one, protected by its lease, so that
+/// there is one at any time. It is soft state: entries name the limit with each
+/// query, and a pacer starts empty, so that permits of a former leader don't
+/// add a burst. While no leader answers, such a server gets no requests.
 ///
-/// A permit that isn't used soon is lost: what entries hold comes on top of the
-/// limit. One request is saved up here and about one there, which makes the
-/// same burst as at an agent.
+/// A permit expires soon, because permits that entries hold come on top of the
+/// limit. One request can be saved up here and about one at the entries, which
+/// adds up to the burst that an agent's pacer allows.
 class SendPermitLedger {
 public:
-  /// This replica leads in \p term. What was learned in another one is
-  /// forgotten.
+  /// This replica leads in \p term. State of another term is discarded.
   void lead(std::uint64_t term);
   SendPermitReply onQuery(TimePoint now, const SendPermitQuery &query);
 
 private:
   struct PacedServer {
     RequestPacer Pacer{/*burst=*/1};
-    /// Entries that were told to come back and may be about to.
+    /// Number of entries that were given a retry-after and may still ask again
+    /// then.
     double Promised = 0;
     TimePoint AskedAt;
   };
--- a/packages/serving/pimentofront/src/Serving/SharedLoads.cpp
+++ b/packages/serving/pimentofront/src/Serving/SharedLoads.cpp
@@ -33,12 +33,12 @@
   if (const auto copy = nextCopy(copies))
     return copy;
   if (!isCrowded(now)) {
-    // Whatever was asked for before is withdrawn, and its tickets go back.
+    // Withdraws earlier demands and returns their tickets.
     Scheduled.next(now, board, {});
     return Alone.next(now, board, others);
   }
   const std::optional<AdapterKey> ticket = Scheduled.next(now, board, others);
-  // Others go first: were all to begin now, all would be slow.
+  // The loads of other agents go first: if all began now, all would be slow.
   if (!ticket && !others.empty())
     CrowdedUntil =
         std::min(std::max(CrowdedUntil, now + Options.CrowdedWhileWaiting),
--- a/packages/serving/pimentofront/src/Serving/SharedLoads.h
+++ b/packages/serving/pimentofront/src/Serving/SharedLoads.h
@@ -9,36 +9,43 @@
 /// \ingroup Serving
 struct SharedLoadsOptions {
   AdaptiveLoadsOptions Alone;
-  /// After an engine has come the store counts as crowded for so long: what all
-  /// engines lack after a loss of power is loaded in about four seconds.
+  /// How long the store counts as congested after an engine has started. After
+  /// a loss of power, loading what all engines lack takes about four seconds.
   Duration CrowdedFor = std::chrono::seconds(5);
-  /// And for so long after a load had to wait for its ticket,
+  /// How long the store counts as congested after a load had to wait for its
+  /// ticket.
   Duration CrowdedWhileWaiting = std::chrono::seconds(1);
-  /// but not longer than this after the engine has come: where more is asked
-  /// for than the store brings, those for whom few wait would wait for ever.
+  /// The store counts as congested for at most this long after the engine has
+  /// started. Where demand exceeds the store's capacity for good, adapters for
+  /// which few requests wait would otherwise never be loaded.
   Duration CrowdedAtMost = std::chrono::seconds(8);
-  /// A scheduler that hasn't answered for so long is away: hundreds of round
-  /// trips within a region, and less than one load takes.
+  /// A scheduler that has not answered for this time is unavailable. That is
+  /// hundreds of round trips within a region, and less than the time of one
+  /// load.
   Duration Silence = std::chrono::milliseconds(150);
-  /// Loads of copies that the engine has, at one time; they need no store.
+  /// Maximum number of concurrent loads of adapters that the engine has a copy
+  /// of; these don't use the store.
   std::size_t MostCopies = 4;
 };
 
 /// \class SharedLoads
 /// \ingroup Serving
-/// \brief Loads by the scheduler's tickets while an engine is filled that has
-/// just come, and without a word else.
+/// \brief Loads by the scheduler's tickets while the adapters of an engine that
+/// has just started are loaded, and without tickets afterwards.
 ///
-/// An agent can't begin less than one load at a time. With more agents than the
-/// store takes at full speed, no limit of their own helps, and popular adapters
-/// come as late as rare ones: with 117 agents before a store that takes 40,
-/// loads took four to five times as long for four seconds after a loss of
-/// power. The scheduler orders the loads of all agents by how many callers
-/// wait, and learns how many the store takes. Later its tickets
-/// would cost messages, and on days on which the store is at its limit all the
-/// time those for whom few wait were held until their callers left; and while
-/// it is away each agent goes by its own experience. Loads of copies are
-/// neither asked for nor counted.
+/// An agent can't begin fewer than one load at a time. With more agents than
+/// the store serves at full speed, limiting each agent does not help, and
+/// popular adapters are loaded as late as rare ones: with 117 agents and a
+/// store that serves 40 loads at full speed, loads took four to five times as
+/// long for four seconds after a loss of power. The scheduler orders the loads
+/// of all agents by how many callers wait, and learns how many the store
+/// serves.
+///
+/// Afterwards tickets would cost messages, and when the store was at its limit
+/// for a whole day, requests for adapters that few waited for were delayed
+/// until their callers gave up. While the scheduler is unavailable, each agent
+/// limits its loads by its own measurements. Loads of copies that the engine
+/// has are neither requested from the scheduler nor counted.
 class SharedLoads : public LoadGate {
 public:
   explicit SharedLoads(const SharedLoadsOptions &options);
@@ -55,16 +62,17 @@
   bool isCrowded(TimePoint now) const { return now < CrowdedUntil; }
 
 private:
-  /// \returns which of \p copies, that the engine has, may be loaded now.
+  /// \returns which of \p copies, adapters that the engine has a copy of, may
+  /// be loaded now.
   std::optional<AdapterKey> nextCopy(const std::vector<Demand> &copies);
 
   SharedLoadsOptions Options;
   AdaptiveLoads Alone;
   ScheduledLoads Scheduled;
   TimePoint CrowdedUntil;
-  /// The latest time at which the store counts as crowded.
+  /// Latest time until which the store counts as congested.
   TimePoint CrowdedLimit;
-  /// Loads under way of copies that the engine has.
+  /// Adapters that are being loaded from a copy that the engine has.
   std::set<AdapterKey> Copies;
 };
 
--- a/packages/serving/pimentofront/src/Serving/SlotTable.h
+++ b/packages/serving/pimentofront/src/Serving/SlotTable.h
@@ -16,13 +16,13 @@
 struct Slot {
   SlotState State = SlotState::Empty;
   AdapterKey Key;
-  /// Requests that run on it. While there are any, it is never given up.
+  /// Requests that run on it. A slot with pins is never evicted.
   std::uint32_t Pins = 0;
   TimePoint LastUsed;
 };
 
-/// \returns whether a load may take this slot: its adapter is there, serves no
-/// request, and none waits for it.
+/// \returns whether a load may replace the adapter in this slot: it is loaded,
+/// serves no request, and no request waits for it.
 template <class Waiting>
 bool mayEvict(const Slot &slot, const Waiting &waiting) {
   return slot.State == SlotState::Ready && slot.Pins == 0 &&
@@ -31,9 +31,9 @@
 
 /// \class SlotTable
 /// \ingroup Serving
-/// \brief What is in the slots of the engine beside this agent, the only place
-/// that knows it without lag. A key without an adapter stands for the base
-/// model alone, which needs no slot.
+/// \brief The contents of the slots of this agent's engine. No other process
+/// knows them without delay. A key without an adapter stands for the base model
+/// alone, which needs no slot.
 class SlotTable {
 public:
   explicit SlotTable(std::uint32_t slots) : Slots(slots) {}
@@ -42,27 +42,28 @@
   bool isReady(const AdapterKey &key) const;
   bool isLoading(const AdapterKey &key) const;
   bool hasEmpty() const;
-  /// \returns the slot with another version of the adapter, or null: an engine
+  /// \returns the slot with another version of the adapter, or null. An engine
   /// holds one version of an adapter at a time.
   const Slot *otherVersion(const AdapterKey &key) const;
 
   /// Reserves a slot for a load, in place of \p victim if it is set.
-  /// \pre the victim has no pins, or there is an empty slot.
+  /// \pre the victim is resident and has no pins; without a victim, a slot is
+  /// empty.
   void beginLoad(const AdapterKey &key,
                  const std::optional<AdapterKey> &victim);
   void finishLoad(TimePoint now, const AdapterKey &key, bool succeeded);
   /// \pre the adapter is ready.
   void pin(TimePoint now, const AdapterKey &key);
   void unpin(TimePoint now, const AdapterKey &key);
-  /// The engine has another number of slots; only empty ones are taken away.
+  /// Changes the number of slots; only empty ones are removed.
   void resize(std::uint32_t slots);
-  /// Makes the table agree with what the engine says it holds: empties the
-  /// slots of adapters that are gone and serve nobody, and takes in those that
-  /// came by an order that was thought lost.
+  /// Adjusts the table to what the engine reports that it holds: empties the
+  /// slots of adapters that are gone and serve no request, and adds adapters
+  /// that were loaded by an order that was thought lost.
   void reconcile(TimePoint now, const std::vector<AdapterKey> &resident);
-  /// The engine started anew: all slots are empty, nothing runs.
+  /// The engine was restarted: all slots are empty and no request runs.
   void clear();
-  /// Takes over what an engine held before this agent started.
+  /// Replaces the contents by what an engine held before this agent started.
   void adopt(TimePoint now, const std::vector<AdapterKey> &resident);
 
 private:
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.cpp
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.cpp
@@ -24,8 +24,8 @@
     Place place = it->first;
     if (!isPending(now, place))
       continue;
-    // Each count on the way is used up by an order that gives up an adapter, or
-    // by one of those that got no answer, which brings one.
+    // Each count in between is used up by an order that evicts an adapter, or
+    // by one of the unanswered orders, which adds one.
     const std::uint64_t steps = place.Count - count;
     std::uint64_t run = 0;
     for (; isPending(now, place); ++place.Count)
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
@@ -10,43 +10,45 @@
 /// \class UnansweredOrdersOptions
 /// \ingroup Serving
 struct UnansweredOrdersOptions {
-  /// An order is carried out so long after it was given, at most: some seconds
-  /// on its way, several times over.
+  /// Longest time after which an order that was sent may still be carried out:
+  /// several times the few seconds that it may be in transit.
   Duration Lifetime = std::chrono::seconds(30);
 };
 
 /// \class UnansweredOrders
 /// \ingroup Serving
-/// \brief Orders to load an adapter that got no answer and may still be carried
-/// out, by the engine's process of then or by a later one under its name.
+/// \brief Orders to load an adapter that were not answered and may still be
+/// carried out, by the engine process they were sent to or by a later one with
+/// the same name.
 ///
-/// Each order names its server, and how many orders that must have accepted
-/// before it (its count), so it can be carried out at one count only, once, and
-/// counts itself: after a restart the engine counts anew, and an order from
-/// before matches again when it comes to its count. An engine that is made to
-/// hold more adapters than it has slots ends, and all its requests with it.
+/// Each order names its server and the number of orders that this server must
+/// have accepted before (the order's count). It can therefore be carried out at
+/// one count only, and once, since carrying it out raises the count. After a
+/// restart the engine counts from the beginning, and an order from before the
+/// restart matches again when the engine reaches that count. An engine that has
+/// to hold more adapters than it has slots exits, and all its requests fail.
 ///
-/// The invariant that mayReach() keeps, for each such order at count N and the
-/// run of r such orders at N, N + 1, ...: when the engine comes to N it has r
-/// slots free. Far from N nothing is held back, since each order on the way may
-/// give up an adapter; near it, loads are. Use it where one process gives all
-/// orders; it isn't a record of what the engine holds.
+/// The invariant that mayReach() preserves, for each such order at count N and
+/// the run of r such orders at N, N + 1, ...: when the engine reaches N it has
+/// r slots free. Far from N no load is prevented, since each order in between
+/// may evict an adapter; near N, loads are. Use it where one process sends all
+/// orders; it is not a record of what the engine holds.
 class UnansweredOrders {
 public:
   explicit UnansweredOrders(const UnansweredOrdersOptions &options = {})
       : Options(options) {}
 
-  /// An order to load, for \p server when it has accepted \p count orders, got
-  /// no answer.
+  /// An order to load, sent to \p server when it had accepted \p count orders,
+  /// was not answered.
   void note(TimePoint now, const HostName &server, std::uint64_t count);
   /// \returns whether \p server may have accepted \p count orders and hold
-  /// \p held adapters: nothing that is still on its way can then overfill its
-  /// \p slots, if each later order is asked about, too.
+  /// \p held adapters: no unanswered order can then exceed its \p slots,
+  /// provided that this function is called before each later order, too.
   bool mayReach(TimePoint now, const HostName &server, std::uint64_t count,
                 std::size_t held, std::size_t slots) const;
 
 private:
-  /// The only place at which an order can be carried out.
+  /// The server and count at which an order can be carried out.
   struct Place {
     HostName Server;
     std::uint64_t Count = 0;
@@ -55,7 +57,7 @@
   bool isPending(TimePoint now, const Place &place) const;
 
   UnansweredOrdersOptions Options;
-  /// When the last order for each place was given.
+  /// When the last order for each of them was sent.
   std::map<Place, TimePoint> Given;
 };
 
