--- a/test/LoadGateTest.cpp
+++ b/test/LoadGateTest.cpp
@@ -15,9 +15,9 @@
   return {{key("a"), 1, 1s}, {key("b"), 3, 5s}, {key("c"), 3, 2s}};
 }
 
-/// A gate and the board of an agent for which all demands are open.
+/// A gate and the board of an agent with demands whose loads could all begin.
 template <class Tested> struct GateWithBoard {
-  /// \returns how many loads may begin.
+  /// \returns how many loads the gate lets begin.
   int begin(TimePoint now = Now) {
     int n = 0;
     while (Gate.next(now, Board, demands()))
@@ -38,13 +38,14 @@
 
 } // namespace
 
-TEST_CASE("what most wait for is loaded first") {
+TEST_CASE("the adapter that most requests wait for is loaded first") {
   GateUnderTest it;
   CHECK(it.Gate.next(Now, it.Board, demands()) == key("c"));
   CHECK_FALSE(it.Gate.next(Now, it.Board, {}));
 }
 
-TEST_CASE("fewer loads are begun while the store is crowded, then more") {
+TEST_CASE(
+    "fewer loads begin while the store is congested, and more afterwards") {
   GateUnderTest it;
   CHECK(it.begin() == 4);
   it.end(4, 250ms);
@@ -57,19 +58,20 @@
   CHECK(it.begin() == 2);
 }
 
-TEST_CASE("a copy that the engine had says nothing of the store") {
+TEST_CASE("a load from the engine's copy does not count as a measurement of "
+          "the store") {
   GateUnderTest it;
   it.begin();
   it.end(4, 250ms);
   it.begin();
   it.end(4, 25ms);
   it.begin();
-  // Had the copies counted, these would look slow.
+  // Had the loads from copies counted, these would look slow.
   it.end(4, 250ms);
   CHECK(it.begin() == 4);
 }
 
-TEST_CASE("a store that has become slower for good is believed") {
+TEST_CASE("the limit adapts to a store that has become slower for good") {
   GateUnderTest it;
   it.begin();
   it.end(4, 250ms);
@@ -80,7 +82,7 @@
   CHECK(it.Gate.limit() > 1);
 }
 
-TEST_CASE("a load that was broken off gives its place back") {
+TEST_CASE("an aborted load no longer counts towards the limit") {
   GateUnderTest it;
   CHECK(it.begin() == 4);
   it.end(4, 0ms);
@@ -93,9 +95,11 @@
 
 } // namespace
 
-// Of 96 loads a second on one day, 19 were of adapters that the engine had held
-// before: they took 25 ms, the others 260.
-TEST_CASE("a load of what the engine has held takes less") {
+// Guards against estimating every load at the weight store's speed: in a
+// measurement of 96 loads a second, 19 were of adapters that the engine had
+// held before and took 25 ms, the others 260 ms.
+TEST_CASE("a load of an adapter that the engine has held is expected to take "
+          "less time") {
   LoadTimeModel model({.Store = 250ms});
   CHECK(model.expected(numbered(1)) == 250ms);
   model.onLoaded(numbered(1), 250ms);
@@ -104,18 +108,19 @@
   for (int i = 0; i < 50; ++i)
     model.onLoaded(numbered(1), 25ms);
   CHECK(model.expected(numbered(1)) < 30ms);
-  // What comes from a copy says nothing of the weight store.
+  // A load from a copy does not change the estimate for the weight store.
   CHECK(model.expected(numbered(2)) == 250ms);
   model.clear();
   CHECK(model.expected(numbered(1)) == 250ms);
 }
 
-TEST_CASE("how many copies an engine keeps is learned") {
+TEST_CASE("the number of copies that an engine keeps is learned") {
   LoadTimeModel model({.Store = 250ms});
   for (int i = 0; i < 100; ++i)
     model.onLoaded(numbered(i), 250ms);
   CHECK(model.hasCopy(numbered(50)));
-  // It keeps forty: the fiftieth from the end is gone.
+  // As with an engine that keeps forty copies: the fiftieth adapter from the
+  // end comes from the store again.
   model.onLoaded(numbered(50), 250ms);
   CHECK(model.hasCopy(numbered(50)));
   CHECK(model.hasCopy(numbered(60)));
@@ -124,7 +129,7 @@
 
 namespace {
 
-/// An agent whose engine has just come, and a scheduler that the test plays.
+/// An agent whose engine has just started; the test acts as the scheduler.
 struct SharedUnderTest : GateWithBoard<SharedLoads> {
   SharedUnderTest() { Gate.onEngineReady(Now); }
   int asked() {
@@ -139,7 +144,7 @@
 
 } // namespace
 
-TEST_CASE("an engine that has just come loads by the scheduler's order") {
+TEST_CASE("an engine that has just started loads in the scheduler's order") {
   SharedUnderTest it;
   CHECK(it.begin(Now) == 0);
   CHECK(it.asked() == 3);
@@ -148,16 +153,17 @@
   CHECK(it.begin(Now + 10ms) == 0);
 }
 
-TEST_CASE("while the scheduler is away an agent goes by its own experience") {
+TEST_CASE("while the scheduler is unavailable an agent uses its own limit") {
   SharedUnderTest it;
   CHECK(it.begin(Now) == 0);
   CHECK(it.begin(Now + 149ms) == 0);
   CHECK(it.begin(Now + 150ms) == 4);
 }
 
-// On days on which the store was at its limit all the time, tickets by weight
-// held those for whom few wait until their callers left.
-TEST_CASE("nobody is asked later, also while the store is slow") {
+// Guards against issuing tickets by weight while the store is at its limit all
+// day: requests for adapters that few waited for were delayed until their
+// callers gave up.
+TEST_CASE("no tickets are requested later, not even while the store is slow") {
   SharedUnderTest it;
   const TimePoint later = Now + 6s;
   CHECK(it.begin(later) == 4);
@@ -168,10 +174,11 @@
   CHECK(it.asked() == 0);
 }
 
-TEST_CASE("whoever waits for a ticket goes without one after eight seconds") {
+TEST_CASE(
+    "loads begin without a ticket after eight seconds of waiting for one") {
   SharedUnderTest it;
   for (Duration at = 0s; at < 8s; at += 100ms) {
-    // The scheduler is there, and gives others its tickets.
+    // The scheduler is available, but issues its tickets to other agents.
     it.Gate.onStatus(Now + at, it.Board, {key("a")});
     INFO(at.count());
     CHECK(it.begin(Now + at) == 0);
@@ -179,7 +186,7 @@
   CHECK(it.begin(Now + 8s) == 4);
 }
 
-TEST_CASE("a copy that the engine has is loaded without a word") {
+TEST_CASE("a copy that the engine has is loaded without a ticket") {
   SharedUnderTest it;
   it.Board.LoadTimes.onHeld(key("b"));
   CHECK(it.Gate.next(Now, it.Board, demands()) == key("b"));
--- a/test/LoadSchedulerTest.cpp
+++ b/test/LoadSchedulerTest.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("one load at a time, the most weight first") {
+TEST_CASE("loads run one at a time, the highest weight first") {
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   scheduler.onDemand(Now, demand("w1", "light", 1));
   scheduler.onDemand(Now, demand("w2", "heavy", 8));
@@ -31,14 +31,15 @@
   CHECK(scheduler.run(Now + 1s).size() == 1);
 }
 
-TEST_CASE("what can't come in time stands behind what can") {
+TEST_CASE(
+    "a demand that can't meet its deadline is ordered behind those that can") {
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   scheduler.onDemand(Now, demand("w1", "late", 9, 10ms));
   scheduler.onDemand(Now, demand("w2", "good", 1));
   CHECK(scheduler.run(Now).at(0).Host == HostName("w2"));
 }
 
-TEST_CASE("the wait that is told grows with the queue") {
+TEST_CASE("the reported wait grows with the queue") {
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   Duration before = -1s;
   for (const char *it : {"a", "b", "c", "d"}) {
@@ -49,7 +50,7 @@
   CHECK(before == 750ms);
 }
 
-TEST_CASE("a ticket that is lost doesn't stop the loads") {
+TEST_CASE("a lost ticket expires and does not block other loads") {
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   scheduler.onDemand(Now, demand("w1", "a", 1));
   REQUIRE(scheduler.run(Now).size() == 1);
@@ -58,7 +59,7 @@
   CHECK(scheduler.run(Now + 2100ms).size() == 1);
 }
 
-TEST_CASE("a host that is gone gives its ticket free at once") {
+TEST_CASE("the ticket of a host that has left is freed at once") {
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   scheduler.onDemand(Now, demand("w1", "a", 1));
   scheduler.run(Now);
@@ -67,14 +68,14 @@
   CHECK(scheduler.run(Now + 250ms).size() == 1);
 }
 
-TEST_CASE("demands that nobody tells again go") {
+TEST_CASE("demands that are not repeated expire") {
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   scheduler.onDemand(Now, demand("w1", "a", 1));
   CHECK(scheduler.run(Now + 4s).empty());
   CHECK(scheduler.waiting() == 0);
 }
 
-TEST_CASE("sessions are told from standing popularity") {
+TEST_CASE("sessions are distinguished from long-term popularity") {
   PopularityTable table({});
   const AdapterKey steady{AdapterName("steady"), 1};
   TimePoint now = Now;
@@ -91,7 +92,7 @@
   CHECK(table.valueOf(now + 60s, last) < table.valueOf(now + 60s, steady));
 }
 
-TEST_CASE("a table of popularity is bounded") {
+TEST_CASE("the popularity table is bounded") {
   PopularityTable table({.Capacity = 100});
   for (int i = 0; i < 1000; ++i)
     table.noteRequest(Now, {AdapterName(std::to_string(i)), 1});
@@ -100,7 +101,8 @@
 
 namespace {
 
-/// A weight store that all loads on their way share, full speed up to so many.
+/// A weight store that divides its bandwidth among all loads in progress; up to
+/// \p capacity of them run at full speed.
 struct StoreUnderTest {
   explicit StoreUnderTest(std::size_t capacity) : Capacity(capacity) {}
   Duration next() const {
@@ -109,13 +111,14 @@
     return fromSeconds(0.25 * slow);
   }
   std::size_t Capacity;
-  /// By the time at which each comes: its ticket and what it took.
+  /// By the time at which each load ends: its ticket and duration.
   std::multimap<TimePoint, std::pair<IssuedTicket, Duration>> OnTheWay;
 };
 
-/// Has 117 agents with seven adapters each ask at once, as after a loss of
-/// power: a few are waited for by many, most by one.
-/// \returns when each adapter came, with its weight and what its load took.
+/// Lets 117 agents demand seven adapters each at once, as after a loss of
+/// power: many requests wait for a few adapters, one request for most.
+/// \returns when each adapter was loaded, its weight, and how long its load
+/// took.
 struct Arrival {
   Duration At;
   std::uint32_t Weight;
@@ -130,7 +133,7 @@
   std::vector<LoadDemand> demands;
   std::set<AdapterKey> begun;
   for (int i = 0; i < Agents * Adapters; ++i) {
-    // Zipf with the exponent 1.2 that these customers' demand has.
+    // Zipf distribution with the exponent 1.2 of these customers' demand.
     const auto weight =
         static_cast<std::uint32_t>(1 + 300 / std::pow(i + 1, 1.2));
     const std::string host = "w" + std::to_string(i * 31 % Agents);
@@ -142,7 +145,7 @@
   std::vector<Arrival> arrivals;
   for (TimePoint now = Now; arrivals.size() < weights.size(); now += 5ms) {
     REQUIRE(now < Now + 60s);
-    // Agents tell again what they wait for.
+    // Agents repeat their demands.
     if ((now - Now) % 1s == 0s)
       for (const LoadDemand &it : demands)
         if (!begun.contains(it.Key))
@@ -164,10 +167,11 @@
 
 } // namespace
 
-// After a loss of power 658 adapters were loaded in four seconds, popular and
-// rare ones alike in 1.0 to 1.4 s each where the store takes 0.25 s: each of
-// 117 agents began at least one load, and the store is at full speed with 40.
-TEST_CASE("what most wait for comes first, at the store's full speed") {
+// Guards against loading without coordination after a loss of power: 658
+// adapters were loaded in four seconds, popular and rare ones alike in 1.0 to
+// 1.4 s each where the store needs 0.25 s, because each of 117 agents began at
+// least one load and the store is at full speed with 40.
+TEST_CASE("popular adapters are loaded first, at the store's full speed") {
   const std::size_t capacity = GENERATE(24, 40, 96);
   const std::vector<Arrival> arrivals = recover(capacity);
   std::vector<Duration> took;
@@ -179,21 +183,22 @@
   std::ranges::sort(took);
   INFO("the store takes " << capacity);
   CHECK(took[took.size() / 2] <= took.front() * 13 / 10);
-  // Half of those who wait have their adapter after a second at most.
+  // Half of the waiting weight has its adapter after a second at most.
   std::uint64_t served = 0;
   for (const Arrival &it : arrivals)
     if (it.At <= 1s)
       served += it.Weight;
   CHECK(2 * served >= all);
-  // And the store isn't left idle: twice what it needs at the very least.
+  // And the store is not left idle: the last load ends within 1.5 times the
+  // time that the store needs, plus one second.
   const double needed = 0.25 * static_cast<double>(arrivals.size()) /
                         static_cast<double>(capacity);
   CHECK(toSeconds(arrivals.back().At) < 1 + 1.5 * needed);
 }
 
-// A quarter of the agents is three times what this store takes, so that even
-// the first loads are slow: nobody knows how quick it can be.
-TEST_CASE("a store that takes less than the first loads is found out") {
+// A quarter of the agents is three times what this store serves at full speed,
+// so that even the first loads are slow and none shows the store's full speed.
+TEST_CASE("a store with less capacity than the first loads need is detected") {
   std::vector<Arrival> arrivals = recover(8);
   std::vector<Duration> later;
   for (std::size_t i = arrivals.size() / 2; i < arrivals.size(); ++i)
--- a/test/RequestPacerTest.cpp
+++ b/test/RequestPacerTest.cpp
@@ -31,26 +31,26 @@
   CHECK_FALSE(pacer.take(Now + 100s));
 }
 
-TEST_CASE("of several words on a limit the newest holds", "[pacer]") {
+TEST_CASE("the newest of several reports of a limit is in force", "[pacer]") {
   RequestPacer pacer;
   CHECK(pacer.apply(Now, named(2000)));
   CHECK_FALSE(pacer.apply(Now, named(9000, 1s)));
   CHECK_FALSE(pacer.apply(Now, {.Age = 1ms}));
   CHECK(pacer.isLimited());
   CHECK(pacer.limit(Now + 3s) == named(2000, 3s));
-  // A limit that falls takes back what was saved up at the former rate only as
-  // far as its own burst goes.
+  // A lower limit leaves the requests that were saved up at the former rate, up
+  // to the pacer's own burst.
   CHECK(pacer.apply(Now + 1s, named(1000)));
   CHECK(pacer.take(Now + 1s));
   CHECK(pacer.apply(Now + 2s, {}));
   CHECK_FALSE(pacer.isLimited());
   CHECK_FALSE(pacer.apply(Now + 2s, named(1000, 1s)));
-  // An age from the future counts as none.
+  // A negative age counts as zero.
   CHECK(pacer.apply(Now + 3s, named(1000, -5s)));
   CHECK_FALSE(pacer.apply(Now + 3s, {.Age = 1s}));
 }
 
-TEST_CASE("what is reserved ahead counts", "[pacer]") {
+TEST_CASE("requests reserved ahead of time count towards the rate", "[pacer]") {
   RequestPacer pacer;
   pacer.apply(Now, named(2000));
   CHECK_FALSE(pacer.reserve(Now, 400ms));
@@ -60,7 +60,8 @@
   CHECK(pacer.take(Now + 1001ms));
 }
 
-TEST_CASE("however low a limit is, a request goes now and then", "[pacer]") {
+TEST_CASE("however low a limit is, requests are sent at a minimum rate",
+          "[pacer]") {
   RequestPacer pacer;
   pacer.apply(Now, named(0));
   CHECK(pacer.wait(Now, 0) == 4s + 1us);
@@ -69,7 +70,7 @@
   CHECK(pacer.take(Now + 4s));
 }
 
-TEST_CASE("the leader lets sends to a limited server through at its pace",
+TEST_CASE("the leader grants sends to a limited server at its rate",
           "[pacer]") {
   SendPermitLedger ledger;
   ledger.lead(1);
@@ -81,14 +82,15 @@
   CHECK_FALSE(first.Granted);
   CHECK(first.Nonce == 1);
   CHECK(first.ComeBack == 500ms + 1us);
-  // The second one comes behind the first.
+  // The second request has to wait for the first.
   CHECK(ask(Now, 2).ComeBack == 1s + 1us);
-  // Given a little before it may be used, so that nobody comes late.
+  // Granted shortly before it may be used, so that the entry does not come
+  // late.
   CHECK(ask(Now + 400ms, 3).Granted);
   CHECK_FALSE(ask(Now + 501ms, 4).Granted);
   for (std::uint64_t n = 0; n < 100; ++n)
     CHECK(ask(Now + 501ms, 10 + n).ComeBack <= 3s);
-  // Another leader may have given permits in between.
+  // Another leader may have granted permits in between.
   CHECK(ask(Now + 10s, 200).Granted);
   ledger.lead(3);
   CHECK_FALSE(ask(Now + 10s, 201).Granted);
--- a/test/UnansweredOrdersTest.cpp
+++ b/test/UnansweredOrdersTest.cpp
@@ -14,26 +14,27 @@
 
 } // namespace
 
-TEST_CASE("an order that got no answer keeps a slot free at its count") {
+TEST_CASE("an unanswered order keeps a slot free at its count") {
   UnansweredOrders it;
   it.note(Now, Server, 5);
   CHECK_FALSE(it.mayReach(Now, Server, 5, Slots, Slots));
   CHECK(it.mayReach(Now, Server, 5, Slots - 1, Slots));
-  // One step before, an adapter can still be given up.
+  // One count earlier, an adapter can still be evicted.
   CHECK(it.mayReach(Now, Server, 4, Slots, Slots));
-  // The engine has come past it.
+  // The engine has passed that count.
   CHECK(it.mayReach(Now, Server, 6, Slots, Slots));
   CHECK(it.mayReach(Now + 30s, Server, 5, Slots, Slots));
 }
 
-TEST_CASE("an order for a server of another name is none for this one") {
+TEST_CASE("an order for another server does not affect this one") {
   UnansweredOrders it;
   it.note(Now, Server, 5);
   CHECK(it.mayReach(Now, HostName("r"), 5, Slots, Slots));
   CHECK(it.mayReach(Now, HostName("t"), 5, Slots, Slots));
 }
 
-TEST_CASE("orders at one count are carried out once, those in a row all") {
+TEST_CASE("only one order at each count is carried out, but all at consecutive "
+          "counts may be") {
   UnansweredOrders it;
   it.note(Now, Server, 5);
   it.note(Now, Server, 5);
@@ -43,10 +44,10 @@
   CHECK(it.mayReach(Now, Server, 5, Slots - 2, Slots));
 }
 
-// The engine carries the orders of before its restart out at the worst moment,
-// which is any at which the count fits; whoever asks before each order of its
-// own never sees it overfilled.
-TEST_CASE("an engine is never overfilled by orders of before its restart") {
+// Orders from before an engine's restart may be carried out at any moment at
+// which the count matches. An agent that calls mayReach() before each of its
+// own orders never fills the engine beyond its slots.
+TEST_CASE("orders from before an engine's restart never exceed its slots") {
   std::uint64_t loads = 0;
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     Random random(seed);
@@ -71,12 +72,13 @@
         --held;
         ++count;
       } else {
-        break; // Only their lifetime helps.
+        break; // Stuck until those orders expire.
       }
       INFO("seed " << seed << ", count " << count);
       REQUIRE(held <= Slots);
     }
   }
-  // It isn't kept by never loading anything: twelve in forty orders here.
+  // The invariant is not kept by never loading: about twelve of forty orders
+  // are loads here.
   CHECK(loads > 20'000);
 }
--- a/test/WireTest.cpp
+++ b/test/WireTest.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("every sort of field survives the wire") {
+TEST_CASE("every type of field survives encoding and decoding") {
   checkRoundTrip(Hello{1, HostName("suva-1"), 7, true});
   checkRoundTrip(ExecuteRequest{.Attempt = {1, ~0ULL},
                                 .Kind = KindName("counter"),
@@ -35,7 +35,7 @@
   checkRoundTrip(Propose{7, {.Body = ClaimRequest{.Holder = {1, 2}}}});
 }
 
-TEST_CASE("what isn't a frame is refused") {
+TEST_CASE("bytes that are not a frame are rejected") {
   CHECK_FALSE(decodeFrame(""));
   CHECK_FALSE(decodeFrame("garbage"));
   const std::string good = encodeFrame({1, RenewLease{HostName("h"), 5}});
@@ -44,24 +44,24 @@
   CHECK_FALSE(decodeFrame(good + "x"));
 }
 
-TEST_CASE("a message of an unknown number is refused") {
-  // An array of type 200, time 1 and no fields.
+TEST_CASE("a message with an unknown type number is rejected") {
+  // An array of type number 200, time 1 and no fields.
   CHECK_FALSE(decodeFrame(std::string("\x83\x18\xc8\x01\x80", 5)));
 }
 
-TEST_CASE("a frame of a million nested arrays doesn't end the stack") {
+TEST_CASE("a frame of a million nested arrays does not overflow the stack") {
   CHECK_FALSE(decodeFrame(std::string(1'000'000, '\x81')));
 }
 
 TEST_CASE("fields that a later release adds at the end are ignored") {
-  // NotLeader (number 11) with two fields in place of one.
+  // NotLeader (type number 11) with two fields instead of one.
   const std::string bytes = std::string("\x83\x0b\x01\x82\x41\x61\x05", 7);
   const auto frame = decodeFrame(bytes);
   REQUIRE(frame);
   CHECK(frame->Content == Message(NotLeader{"a"}));
 }
 
-TEST_CASE("a stored record of a newer format is refused") {
+TEST_CASE("a stored record with a newer format version is rejected") {
   std::string bytes = encodeCommand({.Body = CreateAdapter{}});
   CHECK(decodeCommand(bytes));
   ++bytes[0];
