--- a/packages/base/pimentofront/Base.h
+++ b/packages/base/pimentofront/Base.h
@@ -2,14 +2,14 @@
 ///
 /// \file
 /// \defgroup Base Base
-/// Time as an argument, typed identifiers, findings with their place, hashing
-/// and seeded random numbers. Nothing in here performs I/O.
+/// Clock and duration types, typed identifiers, findings with their location,
+/// hashing and seeded random numbers. Nothing in here performs I/O.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_BASE_H
 #define PIMENTOFRONT_BASE_H
 
-// The parts, in the order of their dependencies.
+// Headers in the order of their dependencies.
 // clang-format off
 #include "src/Base/Time.h"
 #include "src/Base/Identifier.h"
--- a/packages/base/pimentofront/src/Base/ContentHash.cpp
+++ b/packages/base/pimentofront/src/Base/ContentHash.cpp
@@ -25,8 +25,8 @@
   return read.ec == std::errc() && whole ? n : 0;
 }
 
-/// \returns eight bytes as a number, the first one highest, as hashes are
-/// written.
+/// \returns eight bytes as a number, the first one most significant (big
+/// endian), the order in which hashes are written.
 std::uint64_t readHalf(const unsigned char *bytes) {
   constexpr unsigned BitsOfByte = 8;
   std::uint64_t n = 0;
--- a/packages/base/pimentofront/src/Base/ContentHash.h
+++ b/packages/base/pimentofront/src/Base/ContentHash.h
@@ -12,8 +12,8 @@
 
 /// \class ContentHash
 /// \ingroup Base
-/// \brief 128 bits that stand for some content: the first half of its SHA-256
-/// (FIPS 180-4). Nobody can make other content that has the same.
+/// \brief 128 bits that identify some content: the first half of its SHA-256
+/// (FIPS 180-4). Finding other content with the same hash is infeasible.
 struct ContentHash {
   std::uint64_t High = 0;
   std::uint64_t Low = 0;
@@ -21,16 +21,17 @@
   bool empty() const { return High == 0 && Low == 0; }
   /// \returns 32 hexadecimal digits, for logs and operators.
   std::string str() const;
-  /// \returns the hash that \p text stands for; an empty one if it is none.
+  /// \returns the hash written as \p text; an empty one if \p text is not a
+  /// hash.
   static ContentHash parse(std::string_view text);
   friend auto operator<=>(const ContentHash &, const ContentHash &) = default;
 };
 
 /// \class ContentHasher
 /// \ingroup Base
-/// \brief Hashes content as it arrives (libcrypto). Costs a microsecond and
-/// some nanoseconds a byte; use stableHash() where nobody has a reason to look
-/// for a collision.
+/// \brief Hashes content incrementally (libcrypto). Costs a microsecond plus
+/// some nanoseconds per byte; use stableHash() where nobody has an incentive to
+/// find a collision.
 class ContentHasher {
 public:
   ContentHasher();
@@ -39,9 +40,10 @@
   ContentHasher &operator=(const ContentHasher &) = delete;
 
   ContentHasher &add(std::string_view bytes);
-  /// Adds \p bytes with their length, so that neighbours can't run together.
+  /// Adds \p bytes preceded by their length, so that different sequences of
+  /// fields have different hashes.
   ContentHasher &addField(std::string_view bytes);
-  /// \returns the hash of all that was added, and begins anew.
+  /// \returns the hash of all bytes added, and resets the hasher.
   ContentHash finish();
 
 private:
--- a/packages/base/pimentofront/src/Base/Finding.h
+++ b/packages/base/pimentofront/src/Base/Finding.h
@@ -10,9 +10,9 @@
 
 /// \class Finding
 /// \ingroup Base
-/// \brief One fault of an input and the place where it stands.
+/// \brief One error in an input, and its location.
 struct Finding {
-  /// File, line, JSON pointer or field name, as precise as is known.
+  /// File, line, JSON pointer or field name, as precise as known.
   std::string Place;
   /// What is wrong and what was expected.
   std::string Message;
@@ -22,13 +22,13 @@
 
 /// \class Findings
 /// \ingroup Base
-/// \brief Collects all faults of an input, so that they are reported together.
+/// \brief Collects all errors in an input, so that they are reported together.
 class Findings {
 public:
   void add(std::string_view place, std::string_view message);
   bool empty() const { return Items.empty(); }
   const std::vector<Finding> &items() const { return Items; }
-  /// \returns one line a finding, "place: message".
+  /// \returns one line for each finding, "place: message".
   std::string toText() const;
 
 private:
--- a/packages/base/pimentofront/src/Base/Identifier.h
+++ b/packages/base/pimentofront/src/Base/Identifier.h
@@ -10,8 +10,9 @@
 
 /// \class Identifier
 /// \ingroup Base
-/// \brief A name that can't be mistaken for another sort of name.
-/// \tparam Tag makes each sort a type of its own.
+/// \brief A name whose type prevents it from being used as another kind of
+/// name.
+/// \tparam Tag distinguishes the types.
 template <class Tag> class Identifier {
 public:
   Identifier() = default;
@@ -26,7 +27,7 @@
   std::string Value;
 };
 
-/// Names of the domain; the words are those of docs/GLOSSARY.md.
+/// Names of the domain, as in docs/GLOSSARY.md.
 using AdapterName = Identifier<struct AdapterNameTag>;
 using KindName = Identifier<struct KindNameTag>;
 using HostName = Identifier<struct HostNameTag>;
@@ -39,12 +40,12 @@
 using ServiceName = Identifier<struct ServiceNameTag>;
 using AccountName = Identifier<struct AccountNameTag>;
 
-/// Number of a version of one adapter, from 1; 0 stands for "not named".
+/// Version number of an adapter, from 1; 0 means that no version was named.
 using VersionNumber = std::uint32_t;
 
 /// \class AdapterKey
 /// \ingroup Base
-/// \brief One version of one adapter: what a slot holds and a request names.
+/// \brief One version of one adapter, as held by a slot and named by a request.
 struct AdapterKey {
   AdapterName Adapter;
   VersionNumber Version = 0;
@@ -54,25 +55,25 @@
 
 /// \class ServerProcess
 /// \ingroup Base
-/// \brief One process of a backend server. Whatever is believed of a server
-/// (its load, its failures, what it holds, requests and orders on their way) is
-/// believed of one process: a server that starts again under its name holds and
-/// knows nothing of before.
+/// \brief One process of a backend server. Whatever is known of a server (its
+/// load, its failures, what it holds, requests and orders in flight) is known
+/// of one process: a server that restarts under its name has none of the former
+/// process's state.
 struct ServerProcess {
-  /// Under which the server registers; a later process may have it again.
+  /// Name under which the server registers; a later process may reuse it.
   HostName Name;
   /// When the process started, in milliseconds since 1970 by the clock of its
-  /// host; 0 where that isn't told.
+  /// host; 0 if unknown.
   std::uint64_t StartedAt = 0;
 
   bool empty() const { return Name.empty(); }
-  /// \returns whether both tell when they started, so that they can be told
-  /// apart by it.
+  /// \returns whether the start times of both are known, so that they can be
+  /// used to distinguish the processes.
   friend bool bothTellStart(const ServerProcess &a, const ServerProcess &b) {
     return a.StartedAt != 0 && b.StartedAt != 0;
   }
-  /// \returns whether these may be one process. Without a start on one side,
-  /// the name alone decides.
+  /// \returns whether these may be the same process. If a start time is
+  /// unknown, only the names are compared.
   friend bool maybeSame(const ServerProcess &a, const ServerProcess &b) {
     return a.Name == b.Name &&
            (!bothTellStart(a, b) || a.StartedAt == b.StartedAt);
@@ -83,8 +84,8 @@
 
 /// \class AttemptId
 /// \ingroup Base
-/// \brief One attempt at one request. Never used again, so that a late answer
-/// of an earlier attempt finds nobody.
+/// \brief One attempt at one request. Never reused, so that a late answer to an
+/// earlier attempt is not taken for one to a later attempt.
 struct AttemptId {
   /// Random number drawn when the entry process started.
   std::uint64_t Incarnation = 0;
--- a/packages/base/pimentofront/src/Base/Random.h
+++ b/packages/base/pimentofront/src/Base/Random.h
@@ -9,8 +9,8 @@
 
 /// \class Random
 /// \ingroup Base
-/// \brief Seeded random numbers; a controller owns one, so that a run with the
-/// same seed makes the same decisions.
+/// \brief Seeded random numbers. Each controller owns a generator, so that runs
+/// with the same seed make the same decisions.
 class Random {
 public:
   explicit Random(std::uint64_t seed) : Engine(seed) {}
@@ -21,7 +21,8 @@
     constexpr double Scale = 1.0 / 9007199254740992.0; // 2^-53
     return static_cast<double>(Engine() >> 11) * Scale;
   }
-  /// \returns a duration in [\p d, 2 * \p d), for timers that must not meet.
+  /// \returns a duration in [\p d, 2 * \p d), for timers that must not fire at
+  /// the same time.
   Duration jitter(Duration d) {
     return d + fromSeconds(toSeconds(d) * uniform());
   }
--- a/packages/base/pimentofront/src/Base/Time.h
+++ b/packages/base/pimentofront/src/Base/Time.h
@@ -10,11 +10,11 @@
 /// \class BootClock
 /// \ingroup Base
 /// \brief Tag of the clock that all decisions use: time since the machine
-/// started, counting suspension, so that a frozen process sees its leases run
-/// out when it wakes.
+/// booted, including suspension, so that a process that was suspended sees its
+/// leases expired when it resumes.
 ///
-/// It has no `now()` on purpose. Functions that decide take the present time
-/// as an argument; only the event loop reads a clock.
+/// It has no `now()` on purpose. Functions that make decisions take the current
+/// time as an argument; only the event loop reads a clock.
 struct BootClock {
   using rep = std::int64_t;
   using period = std::micro;
@@ -23,12 +23,12 @@
   static constexpr bool is_steady = true;
 };
 
-/// A span of time, in microseconds.
+/// A duration in microseconds.
 using Duration = BootClock::duration;
-/// A point of the boot clock.
+/// A point in time of the boot clock.
 using TimePoint = BootClock::time_point;
 
-/// \returns \p d in seconds as a real number, for rates and scores.
+/// \returns \p d in seconds as a floating-point number, for rates and scores.
 constexpr double toSeconds(Duration d) {
   return static_cast<double>(d.count()) / 1e6;
 }
@@ -38,8 +38,8 @@
   return Duration(static_cast<std::int64_t>(s * 1e6));
 }
 
-/// \returns what is left, from 1 down to 0, of something that loses half its
-/// worth every \p halfLife when \p age has gone by.
+/// \returns the fraction, from 1 down to 0, that remains after \p age of a
+/// value that halves every \p halfLife.
 inline double remainingShare(Duration age, Duration halfLife) {
   return std::exp2(-toSeconds(age) / toSeconds(halfLife));
 }
--- a/packages/wire/pimentofront/Wire.h
+++ b/packages/wire/pimentofront/Wire.h
@@ -4,7 +4,7 @@
 /// \defgroup Wire Wire
 /// The messages that the system's own processes exchange, the records and
 /// commands of the replicated state, and their CBOR encoding. A message is a
-/// struct of values with comparison; its field list is its format.
+/// struct of values with comparison; its field list defines its format.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_WIRE_H
@@ -12,7 +12,7 @@
 
 #include "pimentofront/Base.h"
 
-// The parts, in the order of their dependencies.
+// Headers in the order of their dependencies.
 // clang-format off
 #include "src/Wire/Fields.h"
 #include "src/Wire/Records.h"
--- a/packages/wire/pimentofront/src/Wire/AttemptMessages.h
+++ b/packages/wire/pimentofront/src/Wire/AttemptMessages.h
@@ -14,21 +14,21 @@
   None,
   /// The host takes no new work.
   Leaving,
-  /// Queue of the host is full.
+  /// The queue of the host is full.
   QueueFull,
   /// The adapter can't be loaded within the time that the request has.
   LoadBacklog,
-  /// The adapter failed to load and is set aside for a while.
+  /// The adapter failed to load and is not loaded again for a while.
   LoadFailed,
-  /// The engine or service doesn't answer.
+  /// The engine or service does not answer.
   BackendDown,
   /// The host has no such service or base model.
   NoSuchBackend,
-  /// This process isn't certain of its configuration.
+  /// This process can't confirm that its configuration is current.
   Isolated,
-  /// Too many requests of this kind in progress.
+  /// Too many requests of this kind are in progress.
   KindLimit,
-  /// Too many requests of this caller in progress.
+  /// Too many requests of this caller are in progress.
   CallerLimit,
   /// No backend server is known to serve this.
   NoBackend,
@@ -38,38 +38,39 @@
   Invalid,
   /// The claim of a non-idempotent request couldn't be committed.
   NoClaim,
-  /// The adapter isn't in a slot there, and the attempt asked only for that.
+  /// The adapter is not in a slot there, and the attempt allows no load.
   NotResident,
-  /// It would have to wait longer there than the attempt allows.
+  /// The request would have to wait longer there than the attempt allows.
   Busy,
-  /// The backend server has named a limit to the requests of all entries, which
-  /// leaves no room for this one in time.
+  /// The backend server has named a limit for the requests of all entries,
+  /// which does not admit this one in time.
   RateLimited,
 };
 constexpr unsigned RefusalReasonCount = 17;
 
-/// \returns whether the request was only asking around: the host could take it,
-/// but another one may be better for it.
+/// \returns whether the attempt only asked whether the host can serve the
+/// request soon: the host could run it, but another one may be better.
 constexpr bool onlyAskedAround(RefusalReason reason) {
   return reason == RefusalReason::NotResident || reason == RefusalReason::Busy;
 }
 
-/// \returns the name of \p reason as logs, metrics and errors show it.
+/// \returns the name of \p reason in logs, metrics and errors.
 const char *refusalReasonName(RefusalReason reason);
 
 /// \class LoadFigures
 /// \ingroup Wire
-/// \brief What an agent says of its load with each answer, a hint for routing.
+/// \brief The load that an agent reports with each reply; a hint for routing.
 struct LoadFigures {
   std::uint32_t Running = 0;
   std::uint32_t Queued = 0;
   std::uint32_t BatchCapacity = 0;
-  /// How long a load that is asked for now would have to wait.
+  /// How long a load that is requested now would have to wait.
   Duration LoadWait = Duration::zero();
-  /// Popularity of the adapter that would be given up next, in thousandths of
-  /// a request; 0 with an empty slot, very much when all slots are in use.
+  /// Popularity of the adapter that would be evicted next, in thousandths of a
+  /// request; 0 with an empty slot, a very large value when all slots are in
+  /// use.
   std::uint32_t VictimValue = 0;
-  /// How long the engine is busy with the prompts that it was given.
+  /// How long the engine needs for the prompts that it has accepted.
   Duration PrefillWait = Duration::zero();
   PIMENTOFRONT_FIELDS(LoadFigures, Running, Queued, BatchCapacity, LoadWait,
                       VictimValue, PrefillWait)
@@ -77,63 +78,63 @@
 
 /// \class PromptPart
 /// \ingroup Wire
-/// \brief One part of a prompt; requests with the same parts before it share
-/// what an engine keeps of it.
+/// \brief One part of a prompt. Requests whose preceding parts are the same,
+/// too, share what the engine has cached of it.
 struct PromptPart {
   std::uint64_t Id = 0;
   std::uint32_t Tokens = 0;
   PIMENTOFRONT_FIELDS(PromptPart, Id, Tokens)
 };
 
-/// Stands for the time left of a request that is never late.
+/// Remaining time to the first event of a request that has no target for it.
 constexpr Duration NoTarget = Duration::max();
 
 /// \class ExecuteRequest
 /// \ingroup Wire
-/// \brief Entry to agent: run this once, or refuse it.
+/// \brief Entry to agent: run this request once, or refuse it.
 struct ExecuteRequest {
   AttemptId Attempt;
   RequestId Request;
   CallerName Caller;
   KindName Kind;
   std::uint32_t Weight = 1;
-  /// What is left of the time in which the answer is useful.
+  /// Remaining time within which the answer is useful.
   Duration Remaining = Duration::zero();
   /// Set for generation.
   AdapterKey Key;
   std::string BaseModel;
-  /// Where the weight store keeps the version.
+  /// Where the weight store has the version.
   std::string Source;
   std::string Prompt;
-  /// Text that the caller already has of an earlier attempt.
+  /// Text that the caller already received from an earlier attempt.
   std::string Resumed;
   std::uint32_t MaxTokens = 0;
-  /// Set for a plain service; then there is no adapter.
+  /// Set for a plain service, which has no adapter.
   ServiceName Service;
   std::string Method;
   std::string Payload;
   /// Refuse with `NotResident` rather than load the adapter.
   bool OnlyIfResident = false;
-  /// The entry sends the request to the engine itself, once it has a permit:
-  /// answers under way then don't depend on the agent.
+  /// The entry sends the request to the engine itself once it has a permit, so
+  /// that answers in progress do not depend on the agent.
   bool Delegated = false;
-  /// Parts of the prompt in order, for what the engine may have cached.
+  /// Parts of the prompt in order, to estimate what the engine has cached.
   std::vector<PromptPart> Parts;
-  /// Refuse with `Busy` when its first event would come later: after the wait
-  /// for its adapter, the prompts before its own, and its own; zero sets no
-  /// limit.
+  /// Refuse with `Busy` when the first event would come later than this: after
+  /// the wait for the adapter, the prompts before this one, and this prompt.
+  /// Zero sets no limit.
   Duration FirstEventWithin = Duration::zero();
-  /// What is left of the time in which its first event counts as on time.
+  /// Remaining time within which the first event counts as on time.
   Duration FirstEventDue = NoTarget;
-  /// The process of the engine to which a delegated request will be sent. An
-  /// order that the agent gives for its sake is for no other process.
+  /// The engine process to which a delegated request will be sent. An order
+  /// that the agent sends because of this request is for this process only.
   HostName Server;
-  /// When that process started; 0 if it isn't told.
+  /// When that process started; 0 if unknown.
   std::uint64_t ServerStartedAt = 0;
-  /// What the entry knows of that process's limit: the agent may have started
-  /// since it was named.
+  /// The limit of that process as the entry knows it, since the agent may have
+  /// started after it was named.
   RateLimit Limit;
-  /// The same for whether that process is cold.
+  /// The cold start of that process, likewise.
   ColdStart Cold;
   /// \returns that process.
   ServerProcess server() const { return {Server, ServerStartedAt}; }
@@ -144,28 +145,29 @@
                       ServerStartedAt, Limit, Cold)
 };
 
-/// Agent to entry: a place at the engine is yours, send the request now. The
+/// Agent to entry: the engine has a place for the request, send it now. The
 /// adapter is in its slot and stays there until `AttemptReleased`.
 struct AttemptPermit {
   AttemptId Attempt;
   LoadFigures Load;
-  /// The engine's limit, which other entries may have learned.
+  /// The engine's limit, which other entries may have reported.
   RateLimit Limit;
-  /// How long one request's share of the engine's pace takes; zero while it is
-  /// neither limited nor cold. A permit that was held up for longer is void:
-  /// sends that were permitted over a while must not come all at once.
+  /// Time between two requests at the engine's current rate; zero while the
+  /// engine is neither limited nor cold. A permit that was delayed for longer
+  /// is void: requests that were permitted over a period must not be sent all
+  /// at once.
   Duration Pace = Duration::zero();
   PIMENTOFRONT_FIELDS(AttemptPermit, Attempt, Load, Limit, Pace)
 };
 
-/// What became of an attempt that had a permit.
+/// The outcome of an attempt that had a permit.
 enum class ReleaseKind : std::uint8_t {
   Answered,
-  /// Began and broke off, or was never heard of.
+  /// Began and was interrupted, or nothing was received of it.
   BrokeOff,
-  /// The engine said that it did not run it.
+  /// The engine reported that it did not run it.
   NotRun,
-  /// The engine said that it doesn't hold the adapter.
+  /// The engine reported that it does not hold the adapter.
   NotResident,
 };
 
@@ -173,39 +175,41 @@
 struct AttemptReleased {
   AttemptId Attempt;
   ReleaseKind Kind = ReleaseKind::Answered;
-  /// From its sending to the first event of its answer; zero if unknown.
+  /// From sending the request to the first event of its answer; zero if
+  /// unknown.
   Duration FirstEvent = Duration::zero();
   PIMENTOFRONT_FIELDS(AttemptReleased, Attempt, Kind, FirstEvent)
 };
 
-/// Entry to agent: the first event of the attempt's answer has come. Tells the
-/// agent at once how late its engine is; the end of the answer may be far.
+/// Entry to agent: the first event of the attempt's answer was received. The
+/// agent learns the engine's delay at once rather than at the end of the
+/// answer, which may be much later.
 struct AttemptBegan {
   AttemptId Attempt;
-  /// From its sending to the first event.
+  /// From sending the request to the first event.
   Duration FirstEvent = Duration::zero();
   PIMENTOFRONT_FIELDS(AttemptBegan, Attempt, FirstEvent)
 };
 
 /// \class EngineProfile
 /// \ingroup Wire
-/// \brief Entry to agent: what the routing document says of its engine. The
-/// agent follows the highest revision.
+/// \brief Entry to agent: what the routing document specifies for its engine.
+/// The agent applies the highest revision.
 struct EngineProfile {
   std::uint64_t At = 0;
-  /// Base model that the engine has to hold.
+  /// Base model that the engine has to load.
   std::string BaseModel;
   std::uint32_t AdapterSlots = 0;
   std::uint32_t BatchCapacity = 0;
-  /// Tokens of prompts and answers that it keeps.
+  /// Tokens of prompts and answers that fit in its cache.
   std::uint64_t CacheTokens = 0;
-  /// How it is cold from its start on.
+  /// Cold start that applies from the start of the engine on.
   ColdStart Cold;
   PIMENTOFRONT_FIELDS(EngineProfile, At, BaseModel, AdapterSlots, BatchCapacity,
                       CacheTokens, Cold)
 };
 
-/// Entry to agent: nobody wants this answer any more.
+/// Entry to agent: the answer is no longer needed.
 struct CancelAttempt {
   AttemptId Attempt;
   PIMENTOFRONT_FIELDS(CancelAttempt, Attempt)
@@ -222,29 +226,29 @@
 struct AttemptRefused {
   AttemptId Attempt;
   RefusalReason Reason = RefusalReason::None;
-  /// When it is worth while to come back. Of one that asked around: how long
+  /// Retry-after. If the attempt only asked (see onlyAskedAround()): how long
   /// its first event would take.
   Duration ComeBack = Duration::zero();
   LoadFigures Load;
-  /// The adapter is there, or on its way.
+  /// The adapter is loaded or being loaded.
   bool Holds = false;
   PIMENTOFRONT_FIELDS(AttemptRefused, Attempt, Reason, ComeBack, Load, Holds)
 };
 
-/// Agent to entry: a piece of the answer.
+/// Agent to entry: a part of the answer.
 struct AttemptChunk {
   AttemptId Attempt;
-  /// Tokens of this attempt that came before.
+  /// Tokens of this attempt that precede this part.
   std::uint64_t Position = 0;
   std::uint32_t Tokens = 0;
   std::string Text;
   PIMENTOFRONT_FIELDS(AttemptChunk, Attempt, Position, Tokens, Text)
 };
 
-/// How an attempt that was started ended.
+/// How a started attempt ended.
 enum class AttemptEnding : std::uint8_t {
   Answered,
-  /// Began and broke off: it may have had effects.
+  /// Began and was interrupted: it may have had effects.
   BrokeOff,
   Cancelled,
 };
@@ -253,18 +257,19 @@
 struct AttemptFinished {
   AttemptId Attempt;
   AttemptEnding Ending = AttemptEnding::Answered;
-  /// Answer of a plain service, or what went wrong.
+  /// Answer of a plain service, or the error.
   std::string Payload;
-  /// All tokens of this attempt: the entry checks that it has the whole.
+  /// All tokens of this attempt: the entry checks that the answer is complete.
   std::uint64_t Tokens = 0;
-  /// Time that it waited for its adapter.
+  /// Time that the attempt waited for its adapter.
   Duration LoadStall = Duration::zero();
   LoadFigures Load;
   PIMENTOFRONT_FIELDS(AttemptFinished, Attempt, Ending, Payload, Tokens,
                       LoadStall, Load)
 };
 
-/// Agent to all its entries: no new work, what runs will be finished.
+/// Agent to all its entries: it takes no new requests and finishes those in
+/// progress.
 struct AgentLeaving {
   HostName Host;
   std::uint64_t Incarnation = 0;
--- a/packages/wire/pimentofront/src/Wire/Codec.cpp
+++ b/packages/wire/pimentofront/src/Wire/Codec.cpp
@@ -8,13 +8,13 @@
 
 using Json = nlohmann::json;
 
-/// Format of commands, entries and snapshots on disk.
+/// Format version of commands, entries and snapshots on disk.
 constexpr char StoredFormatVersion = 1;
-/// The deepest of our messages has 7 levels. The library's reader recurses, so
-/// a hostile frame has to be stopped before the stack ends.
+/// The deepest message has 7 levels. The library's parser recurses, so a
+/// malicious frame has to be rejected before the stack overflows.
 constexpr int DepthLimit = 16;
 
-/// Builds the document, but gives up at too deep a nesting.
+/// Builds the document, but rejects one that is nested too deeply.
 class BoundedReader : public nlohmann::detail::json_sax_dom_parser<Json> {
 public:
   using Base = nlohmann::detail::json_sax_dom_parser<Json>;
@@ -27,7 +27,7 @@
     --Depth;
     return Base::end_array();
   }
-  /// Our messages have no maps.
+  /// Messages contain no maps.
   bool start_object(std::size_t) { return false; }
 
 private:
@@ -108,14 +108,14 @@
   } else if constexpr (std::is_enum_v<T>) {
     return static_cast<std::uint8_t>(value);
   } else if constexpr (std::is_same_v<T, std::string>) {
-    // As bytes: texts may be cut inside a character.
+    // As bytes, since texts may be cut inside a multi-byte character.
     return Json::binary(std::vector<std::uint8_t>(value.begin(), value.end()));
   } else {
     return value;
   }
 }
 
-/// Sequentially fills fields from the elements of an array.
+/// Fills the fields in order from the elements of an array.
 template <class T> void fieldsFromJson(const Json &json, T &value) {
   require(json.is_array());
   std::size_t i = 0;
@@ -188,7 +188,7 @@
   return bytes;
 }
 
-/// \returns the document, or discarded when \p bytes isn't proper CBOR.
+/// \returns the document, or a discarded value when \p bytes is not valid CBOR.
 Json fromBytes(std::string_view bytes) {
   Json json;
   BoundedReader reader(json);
--- a/packages/wire/pimentofront/src/Wire/Codec.h
+++ b/packages/wire/pimentofront/src/Wire/Codec.h
@@ -15,7 +15,7 @@
 
 /// \class DecodeError
 /// \ingroup Wire
-/// \brief Why some bytes aren't what they should be.
+/// \brief Why some bytes could not be decoded.
 struct DecodeError {
   std::string Reason;
 };
@@ -31,7 +31,7 @@
 
 /// \class ClaimRecord
 /// \ingroup Wire
-/// \brief What the ledger knows of one request that may not be repeated.
+/// \brief What the ledger records of one non-idempotent request.
 struct ClaimRecord {
   CallerName Caller;
   RequestId Request;
@@ -47,7 +47,7 @@
                       IssuedAtMilliseconds)
 };
 
-/// First outcome of a command, kept for its resends.
+/// First outcome of a command; a resend of the command gets it again.
 struct OutcomeRecord {
   CommandId Id;
   std::uint64_t ContentHash = 0;
@@ -69,8 +69,8 @@
 };
 
 /// \ingroup Wire
-/// One item of the replicated state, as it stands in a snapshot. A snapshot is
-/// a sequence of these, so that no process ever holds it decoded as a whole.
+/// One item of the replicated state in a snapshot. A snapshot is a sequence of
+/// these, so that no process ever has to hold all of it decoded.
 using StateItem =
     std::variant<StateHeader, AdapterRecord, KindRecord, DrainRecord,
                  ClaimRecord, OutcomeRecord, DocumentRecord, QuarantineHeader,
@@ -78,12 +78,12 @@
 
 /// Encodes as CBOR: an array of type number, hybrid time and fields.
 std::string encodeFrame(const Frame &frame);
-/// \returns the frame, or why \p bytes isn't one. Bounded in depth; its cost
-/// is linear in the size of \p bytes.
+/// \returns the frame, or why \p bytes is not one. The nesting depth is
+/// bounded, and the cost is linear in the size of \p bytes.
 tl::expected<Frame, DecodeError> decodeFrame(std::string_view bytes);
 
-/// Encoding of what stands in the log and in snapshots. The first byte is the
-/// version of the format; a newer one is refused.
+/// Encoding of the contents of the log and of snapshots. The first byte is the
+/// version of the format; any other version than the present one is rejected.
 std::string encodeCommand(const Command &command);
 tl::expected<Command, DecodeError> decodeCommand(std::string_view bytes);
 std::string encodeAdapter(const AdapterRecord &record);
--- a/packages/wire/pimentofront/src/Wire/Commands.h
+++ b/packages/wire/pimentofront/src/Wire/Commands.h
@@ -13,7 +13,8 @@
   PIMENTOFRONT_FIELDS(CreateAdapter, Adapter, BaseModel)
 };
 
-/// Adds a version; of two operators with one number exactly one wins.
+/// Adds a version. Of two commands with the same number exactly one is
+/// accepted.
 struct CreateVersion {
   AdapterName Adapter;
   VersionNumber Number = 0;
@@ -34,14 +35,14 @@
   PIMENTOFRONT_FIELDS(SetKind, Record)
 };
 
-/// Takes a host out of use, or back.
+/// Takes a host out of use, or puts it back into use.
 struct SetDrained {
   HostName Host;
   bool Drained = false;
   PIMENTOFRONT_FIELDS(SetDrained, Host, Drained)
 };
 
-/// Has an availability zone evacuated, or takes that back.
+/// Evacuates an availability zone, or restores it.
 struct EvacuateZone {
   ZoneName Zone;
   bool Evacuated = false;
@@ -50,17 +51,17 @@
 
 /// \class ClaimRequest
 /// \ingroup Wire
-/// \brief Takes the right to run a non-idempotent request. Granted once for
+/// \brief Claims the right to run a non-idempotent request. Granted once for
 /// each pair of caller and request id.
 struct ClaimRequest {
   CallerName Caller;
   RequestId Request;
-  /// Hash of method and payload: the id with other contents is refused.
+  /// Hash of method and payload: the same id with other contents is rejected.
   std::uint64_t ContentHash = 0;
   /// The attempt that may run it.
   AttemptId Holder;
-  /// When the caller first sent it: after the ledger's retention it is refused,
-  /// so that a claim may be forgotten then.
+  /// When the caller first sent it. A request older than the ledger's retention
+  /// is rejected, so that its claim can be forgotten by then.
   std::uint64_t IssuedAtMilliseconds = 0;
   PIMENTOFRONT_FIELDS(ClaimRequest, Caller, Request, ContentHash, Holder,
                       IssuedAtMilliseconds)
@@ -68,17 +69,18 @@
 
 /// How a claimed request ended.
 enum class ClaimEnding : std::uint8_t {
-  /// Ran, and the answer is recorded.
+  /// It ran, and the answer is recorded.
   Answered,
-  /// May have run; nobody will learn more.
+  /// It may have run; the outcome will never be known.
   Unknown,
-  /// Certainly did not run: the claim is released, the id may be sent again.
+  /// It certainly did not run: the claim is released, and the id may be sent
+  /// again.
   NotRun,
 };
 
 /// \class RecordEnding
 /// \ingroup Wire
-/// \brief Ends a claim. Only the holder's word counts.
+/// \brief Ends a claim. Accepted from its holder only.
 struct RecordEnding {
   CallerName Caller;
   RequestId Request;
@@ -88,8 +90,8 @@
   PIMENTOFRONT_FIELDS(RecordEnding, Caller, Request, Holder, Ending, Answer)
 };
 
-/// Puts a routing document in force. One whose number isn't higher than that
-/// of the document in force is accepted, and changes nothing.
+/// Puts a routing document in force. A document whose number is not higher than
+/// that of the one in force is accepted without effect.
 struct PutDocument {
   std::uint64_t Number = 0;
   std::string Packed;
@@ -97,7 +99,7 @@
 };
 
 /// Makes a version of an adapter the only live one, unless a higher one is
-/// live; the adapter comes into being by it.
+/// live. Creates the adapter if it does not exist.
 struct NameVersion {
   AdapterName Adapter;
   std::string BaseModel;
@@ -105,35 +107,35 @@
   PIMENTOFRONT_FIELDS(NameVersion, Adapter, BaseModel, Number)
 };
 
-/// The process of a backend server has ended; whatever it had may have ended
-/// it.
+/// The process of a backend server exited. Any of the requests in progress on
+/// it may have caused that.
 struct ReportServerEnd {
   ServerProcess Server;
   std::vector<RequestAtWork> AtWork;
   PIMENTOFRONT_FIELDS(ReportServerEnd, Server, AtWork)
 };
 
-/// Takes the leave to try a watched request. Granted to one attempt at a time.
+/// Requests the trial grant for a watched request. Granted to one attempt at a
+/// time.
 struct ClaimTrial {
   ContentHash Content;
   AttemptId Holder;
-  /// The attempt lasts no longer.
+  /// Maximum duration of the attempt.
   Duration HeldFor = Duration::zero();
   PIMENTOFRONT_FIELDS(ClaimTrial, Content, Holder, HeldFor)
 };
 
-/// How a trial of a watched request ended, where its server didn't.
+/// How a trial of a watched request ended when its server did not exit.
 enum class TrialEnding : std::uint8_t {
   /// No server began to run it.
   NotRun,
-  /// Nobody knows whether it would have ended its server.
+  /// It is unknown whether the request would have crashed its server.
   Unclear,
-  /// A server ran it and lives.
+  /// A server ran it and did not exit.
   Survived,
 };
 
-/// Gives the leave back. That a server survived clears the request, whoever
-/// says so.
+/// Returns the trial grant. `Survived` clears the request, whoever reports it.
 struct EndTrial {
   ContentHash Content;
   AttemptId Holder;
@@ -141,7 +143,7 @@
   PIMENTOFRONT_FIELDS(EndTrial, Content, Holder, Ending)
 };
 
-/// A record that has stood unchanged for its time.
+/// A record that has remained unchanged for its period.
 struct DueRecord {
   ContentHash Content;
   std::uint64_t ChangedAt = 0;
@@ -149,21 +151,23 @@
   PIMENTOFRONT_FIELDS(DueRecord, Content, ChangedAt, Holder)
 };
 
-/// Leader: these trials have lasted too long, these requests have been watched
-/// or in quarantine for long enough. A record that has changed stays.
+/// From the leader: these trials have exceeded their duration, or these
+/// requests have been watched or in quarantine for long enough. A record that
+/// has changed meanwhile is skipped.
 struct ReviewQuarantine {
   std::vector<DueRecord> Due;
   PIMENTOFRONT_FIELDS(ReviewQuarantine, Due)
 };
 
-/// An operator clears a request: whatever made it end servers is mended.
+/// An operator clears a request because the fault by which it crashed servers
+/// was fixed.
 struct ReleaseQuarantine {
   ContentHash Content;
   PIMENTOFRONT_FIELDS(ReleaseQuarantine, Content)
 };
 
 /// The position in this list is the number of the command in the log: new ones
-/// go to the end.
+/// are appended at the end.
 using CommandBody =
     std::variant<CreateAdapter, CreateVersion, DeclareLive, SetKind, SetDrained,
                  ClaimRequest, RecordEnding, PutDocument, NameVersion,
@@ -174,8 +178,9 @@
 /// \ingroup Wire
 /// \brief A change of the replicated state.
 struct Command {
-  /// A command sent again under its id gets its first outcome. Claims and
-  /// their endings leave it empty: the ledger itself answers a resend.
+  /// A command that is sent again with the same id gets its first outcome.
+  /// Claims and their endings leave the id empty: the ledger itself recognises
+  /// a resend.
   CommandId Id;
   OperatorName Operator;
   /// Revision of the record that the change builds on; 0 accepts any.
@@ -187,7 +192,7 @@
 /// How a command ended.
 enum class CommandResult : std::uint8_t {
   Accepted,
-  /// Another command was first; `Winner` says whose.
+  /// Another command was accepted first; `Winner` names its operator.
   Conflict,
   /// The command names something that doesn't exist.
   NotFound,
@@ -195,24 +200,24 @@
   Invalid,
   /// The id was used before with other contents.
   IdReused,
-  /// Claim: the request is claimed by another attempt and hasn't ended.
+  /// Claim: another attempt has claimed the request, which has not ended.
   InProgress,
-  /// Claim: the request ended; `Answer` holds what was recorded.
+  /// Claim: the request ended; `Answer` holds the recorded answer.
   AlreadyAnswered,
-  /// Claim: it may have run; nobody will learn more.
+  /// Claim: the request may have run; its outcome will never be known.
   AlreadyUnknown,
-  /// Trial: the request ends servers, so none gets it.
+  /// Trial: the request crashes servers, so no server gets it.
   Quarantined,
 };
 
 /// \class CommandOutcome
 /// \ingroup Wire
-/// \brief What the replicated state answered to a command.
+/// \brief Result of applying a command to the replicated state.
 struct CommandOutcome {
   CommandResult Result = CommandResult::Accepted;
-  /// Revision in which it is in force, or at which it was refused.
+  /// Revision in which the command is in force, or at which it was rejected.
   Revision At = 0;
-  /// In a conflict, who was first.
+  /// In a conflict, the operator whose command was accepted first.
   OperatorName Winner;
   std::string Detail;
   /// Recorded answer of a claimed request.
--- a/packages/wire/pimentofront/src/Wire/ConsensusMessages.h
+++ b/packages/wire/pimentofront/src/Wire/ConsensusMessages.h
@@ -8,8 +8,9 @@
 
 namespace pimentofront {
 
-/// Identity of one replica's disk: drawn when its data folder is created and
-/// lost with it, so that an emptied disk can't vote as if it remembered.
+/// Identity of a replica's disk: drawn when its data folder is created and lost
+/// with it, so that a replica whose disk was erased can't vote as if it still
+/// had its earlier votes.
 using ReplicaId = std::uint64_t;
 using Term = std::uint64_t;
 using LogIndex = std::uint64_t;
@@ -21,7 +22,7 @@
   ReplicaId Id = 0;
   HostName Host;
   std::string Address;
-  /// Receives the log but neither votes nor counts.
+  /// Receives the log, but neither votes nor counts towards a quorum.
   bool Learner = false;
   PIMENTOFRONT_FIELDS(ReplicaDescriptor, Id, Host, Address, Learner)
 };
@@ -43,23 +44,24 @@
   Term EntryTerm = 0;
   LogIndex Index = 0;
   EntryKind Kind = EntryKind::Nothing;
-  /// Wall clock of the leader that wrote it, milliseconds since 1970: the
-  /// state machine's only notion of time.
+  /// Wall clock of the leader that wrote it, in milliseconds since 1970: the
+  /// only time that the state machine uses.
   std::uint64_t WallMilliseconds = 0;
   std::string Data;
   PIMENTOFRONT_FIELDS(LogEntry, EntryTerm, Index, Kind, WallMilliseconds, Data)
 };
 
-/// Asks for a vote, or with `Probe` whether one would be given (pre-vote).
+/// Requests a vote, or with `Probe` asks whether one would be granted
+/// (pre-vote).
 struct VoteRequest {
   ReplicaId From = 0;
   Term CandidateTerm = 0;
   LogIndex LastIndex = 0;
   Term LastTerm = 0;
   bool Probe = false;
-  /// All voters have said that they know of no leader in the term before, so
-  /// that nobody holds a lease: what a voter may have promised before it
-  /// started has ended.
+  /// All voters have replied that they know of no leader in the previous term,
+  /// so that no replica holds a lease: any lease that a voter may have
+  /// acknowledged before it started has ended.
   bool NobodyLeads = false;
   PIMENTOFRONT_FIELDS(VoteRequest, From, CandidateTerm, LastIndex, LastTerm,
                       Probe, NobodyLeads)
@@ -68,12 +70,12 @@
 struct VoteReply {
   ReplicaId From = 0;
   Term VoterTerm = 0;
-  /// Term that was asked for, so that late replies count for nothing.
+  /// Term of the request, so that late replies are ignored.
   Term CandidateTerm = 0;
   bool Granted = false;
   bool Probe = false;
-  /// A probe isn't granted only because this replica has just started, and may
-  /// have promised a leader its lease before.
+  /// A probe was not granted only because this replica has just started and may
+  /// have acknowledged a leader's lease before that.
   bool OnlyJustStarted = false;
   PIMENTOFRONT_FIELDS(VoteReply, From, VoterTerm, CandidateTerm, Granted, Probe,
                       OnlyJustStarted)
@@ -85,8 +87,8 @@
   LogIndex PreviousIndex = 0;
   Term PreviousTerm = 0;
   LogIndex Committed = 0;
-  /// Counts the leader's rounds; echoed, so that the leader knows since when
-  /// the follower recognises it.
+  /// Counts the leader's rounds. The follower returns it, so that the leader
+  /// knows since when the follower has recognised it.
   std::uint64_t Round = 0;
   std::vector<LogEntry> Entries;
   PIMENTOFRONT_FIELDS(AppendRequest, From, LeaderTerm, PreviousIndex,
@@ -97,13 +99,13 @@
   ReplicaId From = 0;
   Term FollowerTerm = 0;
   bool Matched = false;
-  /// Last index known to match, or from where to try again.
+  /// Last index known to match, or the index from which to retry.
   LogIndex Index = 0;
   std::uint64_t Round = 0;
   PIMENTOFRONT_FIELDS(AppendReply, From, FollowerTerm, Matched, Index, Round)
 };
 
-/// A piece of a snapshot; the next one is sent when it is acknowledged.
+/// A part of a snapshot; the next one is sent when it is acknowledged.
 struct SnapshotPart {
   ReplicaId From = 0;
   Term LeaderTerm = 0;
@@ -122,14 +124,14 @@
   ReplicaId From = 0;
   Term FollowerTerm = 0;
   LogIndex LastIndex = 0;
-  /// How many bytes have arrived without a gap.
+  /// Number of bytes that have been received without a gap.
   std::uint64_t Received = 0;
   std::uint64_t Round = 0;
   PIMENTOFRONT_FIELDS(SnapshotReply, From, FollowerTerm, LastIndex, Received,
                       Round)
 };
 
-/// A replica without a group asks to be taken in.
+/// A replica without a group asks to be added.
 struct JoinRequest {
   ReplicaDescriptor Replica;
   PIMENTOFRONT_FIELDS(JoinRequest, Replica)
--- a/packages/wire/pimentofront/src/Wire/ControlMessages.h
+++ b/packages/wire/pimentofront/src/Wire/ControlMessages.h
@@ -7,40 +7,44 @@
 
 namespace pimentofront {
 
-/// Agent to leader: I live. Sent once a renewal period and at each change.
+/// Agent to leader: registers the agent. Sent once a renewal period and at each
+/// change.
 struct Announce {
   MemberRecord Member;
   PIMENTOFRONT_FIELDS(Announce, Member)
 };
 
-/// Replica to process: where the members of the group are now, so that a
-/// process outlives the replicas that it was told of at its start.
+/// Replica to process: the current addresses of the group's members, so that a
+/// process continues to work when all replicas that it was configured with have
+/// been replaced.
 struct ReplicaAddresses {
   std::vector<std::string> Peers;
   PIMENTOFRONT_FIELDS(ReplicaAddresses, Peers)
 };
 
-/// Agent to leader: my lease, please, nothing has changed.
+/// Agent to leader: renews the lease; nothing has changed since the last
+/// `Announce`.
 struct RenewLease {
   HostName Host;
   std::uint64_t Incarnation = 0;
   PIMENTOFRONT_FIELDS(RenewLease, Host, Incarnation)
 };
 
-/// Leader to agent. `Known` false: announce yourself in full.
+/// Leader to agent. If `Known` is false, the agent has to send `Announce`.
 struct LeaseReply {
   bool Known = false;
   Duration Lease = Duration::zero();
-  /// Live agents with an engine, for the share without a scheduler.
+  /// Live agents with an engine, to compute the share of the weight store that
+  /// an agent uses without a scheduler.
   std::uint32_t Members = 0;
-  /// Fencing token for the orders of this incarnation: higher than any that
-  /// was given out before. The leader's term, which survives, stands in its
-  /// upper bits.
+  /// Fencing token for the orders of this incarnation: higher than any token
+  /// issued before. Its upper bits are the leader's term, which is persistent.
   std::uint64_t Fence = 0;
   PIMENTOFRONT_FIELDS(LeaseReply, Known, Lease, Members, Fence)
 };
 
-/// Any process to a replica that doesn't lead, in answer: ask there.
+/// Replica to process, when the replica is not the leader: the leader's
+/// address, empty if unknown.
 struct NotLeader {
   std::string LeaderAddress;
   PIMENTOFRONT_FIELDS(NotLeader, LeaderAddress)
@@ -48,45 +52,46 @@
 
 /// \class LoadDemand
 /// \ingroup Wire
-/// \brief Agent to load scheduler: these requests wait for this adapter.
-/// Sent when demand arises and when it changes much.
+/// \brief Agent to load scheduler: requests wait for this adapter. Sent when a
+/// demand arises and when it changes significantly.
 struct LoadDemand {
   HostName Host;
   std::uint64_t Incarnation = 0;
   AdapterKey Key;
   /// Sum of the weights of the waiting requests; 0 withdraws the demand.
   std::uint32_t WaitingWeight = 0;
-  /// Time until the first of them is useless.
+  /// Time until the first of them is late.
   Duration Slack = Duration::zero();
   PIMENTOFRONT_FIELDS(LoadDemand, Host, Incarnation, Key, WaitingWeight, Slack)
 };
 
-/// Load scheduler to agent: load it now.
+/// Load scheduler to agent: the load may begin now.
 struct LoadTicket {
   std::uint64_t Ticket = 0;
   AdapterKey Key;
   PIMENTOFRONT_FIELDS(LoadTicket, Ticket, Key)
 };
 
-/// Agent to load scheduler: the ticket is used up or not wanted any more.
+/// Agent to load scheduler: the ticket was used or is not needed any more.
 struct LoadDone {
   HostName Host;
   std::uint64_t Ticket = 0;
-  /// The load was started, so it has used the weight store.
+  /// The load was started, so it used the weight store.
   bool Started = false;
   Duration Took = Duration::zero();
   PIMENTOFRONT_FIELDS(LoadDone, Host, Ticket, Started, Took)
 };
 
-/// Load scheduler to agent, in answer to a demand: how long it will take.
+/// Load scheduler to agent, in reply to a demand: the expected wait.
 struct LoadQueueStatus {
   AdapterKey Key;
-  /// Time until the loads that go before this one are done.
+  /// Time until the loads that are ordered before this one have ended.
   Duration Backlog = Duration::zero();
   PIMENTOFRONT_FIELDS(LoadQueueStatus, Key, Backlog)
 };
 
-/// Process to replica: send me configuration and members from here on.
+/// Process to replica: subscribes to changes of configuration and members after
+/// the versions given.
 struct Subscribe {
   HostName Host;
   Revision Known = 0;
@@ -98,7 +103,8 @@
                       WantsQuarantine, KnownQuarantine)
 };
 
-/// Process to replica: is what I have current? Carries what is in force.
+/// Process to replica: asks whether its configuration is current, and reports
+/// the revision that it has in force.
 struct ProbeRevision {
   HostName Host;
   std::uint64_t Nonce = 0;
@@ -106,24 +112,24 @@
   PIMENTOFRONT_FIELDS(ProbeRevision, Host, Nonce, InForce)
 };
 
-/// Replica to process: when your probe arrived, this was the newest accepted
-/// revision, confirmed with the leader and its quorum.
+/// Replica to process: the newest accepted revision when the probe arrived,
+/// confirmed with the leader and its quorum.
 struct ProbeReply {
   std::uint64_t Nonce = 0;
   Revision Confirmed = 0;
-  /// Nothing of the members has been missed up to here.
+  /// No membership change up to this version was missed.
   MemberVersion Members;
-  /// Processes that follow the configuration, over all replicas: those among
-  /// which a common budget is shared out.
+  /// Processes that subscribe to the configuration, over all replicas: a common
+  /// budget is divided among them.
   std::uint32_t Subscribers = 0;
-  /// Version of the quarantine ledger then.
+  /// Version of the quarantine ledger at that time.
   std::uint64_t Quarantine = 0;
   PIMENTOFRONT_FIELDS(ProbeReply, Nonce, Confirmed, Members, Subscribers,
                       Quarantine)
 };
 
-/// Replica to process: records that changed. A process applies them in order
-/// and is then at `UpTo`, unless more follow (`Partial`).
+/// Replica to process: records that changed. After applying them in order a
+/// process is at `UpTo`, unless more follow (`Partial`).
 struct ConfigurationUpdate {
   Revision UpTo = 0;
   bool Partial = false;
@@ -133,11 +139,11 @@
 
 /// Replica to process: members that changed.
 struct MemberUpdate {
-  /// Starts from an empty table, not from what the receiver has.
+  /// The update replaces the receiver's table rather than adding to it.
   bool Full = false;
-  /// The leader has been one for a whole lease: hosts it doesn't name are gone.
+  /// The leader has led for a whole lease: hosts that are not listed are gone.
   bool Complete = false;
-  /// Version before these changes; the receiver asks again on a gap.
+  /// Version before these changes; the receiver subscribes again on a gap.
   MemberVersion From;
   MemberVersion To;
   std::vector<MemberRecord> Members;
@@ -151,7 +157,8 @@
   PIMENTOFRONT_FIELDS(Propose, Nonce, Proposal)
 };
 
-/// Leader to process: what became of it. Without an outcome nothing is known.
+/// Leader to process: the outcome of a proposal. If not `Decided`, it is
+/// unknown.
 struct ProposeReply {
   std::uint64_t Nonce = 0;
   bool Decided = false;
@@ -159,11 +166,12 @@
   PIMENTOFRONT_FIELDS(ProposeReply, Nonce, Decided, Outcome)
 };
 
-/// Follower to leader: to which index must I have applied to be current?
+/// Follower to leader: asks up to which index it must have applied the log to
+/// be current.
 struct ReadIndexRequest {
   ReplicaId From = 0;
   std::uint64_t Nonce = 0;
-  /// Processes that follow the configuration from this replica.
+  /// Processes that subscribe to the configuration at this replica.
   std::uint32_t Subscribers = 0;
   PIMENTOFRONT_FIELDS(ReadIndexRequest, From, Nonce, Subscribers)
 };
@@ -172,12 +180,12 @@
   std::uint64_t Nonce = 0;
   std::uint64_t Index = 0;
   MemberVersion Members;
-  /// The same over all replicas.
+  /// The same, summed over all replicas.
   std::uint32_t Subscribers = 0;
   PIMENTOFRONT_FIELDS(ReadIndexReply, Nonce, Index, Members, Subscribers)
 };
 
-/// What an operator asks of the replica group itself.
+/// Operations of an operator on the replica group itself.
 enum class AdminAction : std::uint8_t { Status, RemoveReplica };
 
 /// Process to replica.
@@ -188,7 +196,7 @@
   PIMENTOFRONT_FIELDS(AdminRequest, Nonce, Action, Host)
 };
 
-/// A process and the revision that it last said it has in force.
+/// A process and the revision that it last reported as in force.
 struct RevisionInForce {
   HostName Host;
   Revision At = 0;
@@ -197,7 +205,7 @@
 
 /// \class ReplicaStatus
 /// \ingroup Wire
-/// \brief What one replica says of itself and of those that it serves.
+/// \brief What one replica reports of itself and of the processes it serves.
 struct ReplicaStatus {
   HostName Host;
   std::uint64_t Identity = 0;
@@ -210,9 +218,9 @@
   std::vector<ReplicaDescriptor> Group;
   std::vector<MemberRecord> Members;
   std::vector<RevisionInForce> InForce;
-  /// Requests under which backend servers ended.
+  /// Requests under which backend servers exited.
   std::vector<QuarantineRecord> Quarantine;
-  /// Client accounts, if this replica leads.
+  /// Client accounts, if this replica is the leader.
   std::vector<AccountStatus> Accounts;
   PIMENTOFRONT_FIELDS(ReplicaStatus, Host, Identity, Leads, Term, CommitIndex,
                       Current, Adapters, Claims, Group, Members, InForce,
@@ -231,10 +239,10 @@
 struct Hello {
   std::uint32_t Protocol = 0;
   HostName Host;
-  /// Identity of the disk; zero when the sender has none, or opened the link
-  /// for something else than replication.
+  /// Identity of the disk; zero when the sender has none, or opened the
+  /// connection for another purpose than replication.
   std::uint64_t Replica = 0;
-  /// The sender accepted this link; the other side opened it.
+  /// The sender accepted this connection; the other side opened it.
   bool Accepted = false;
   PIMENTOFRONT_FIELDS(Hello, Protocol, Host, Replica, Accepted)
 };
--- a/packages/wire/pimentofront/src/Wire/Fields.h
+++ b/packages/wire/pimentofront/src/Wire/Fields.h
@@ -1,10 +1,10 @@
 #ifndef PIMENTOFRONT_WIRE_FIELDS_H
 #define PIMENTOFRONT_WIRE_FIELDS_H
 
-/// Declares the field list of a message: the order of the fields is their
-/// order in the encoding, and comparison goes over all of them. A later release
-/// may add fields at the end only; a reader ignores fields it doesn't know
-/// and leaves those that are missing at their default.
+/// Declares the field list of a message: the order of the fields is their order
+/// in the encoding, and comparison covers all of them. A later release may only
+/// append fields; a reader ignores fields that it does not know and leaves
+/// missing ones at their default.
 ///
 /// A macro, since C++20 can't list the members of a struct.
 #define PIMENTOFRONT_FIELDS(type, ...)                                         \
--- a/packages/wire/pimentofront/src/Wire/Message.h
+++ b/packages/wire/pimentofront/src/Wire/Message.h
@@ -9,8 +9,8 @@
 namespace pimentofront {
 
 /// \ingroup Wire
-/// Anything that one process sends another. The position in this list is the
-/// number of the message on the wire: new ones go to the end.
+/// Any message between two processes. The position in this list is the type
+/// number of the message on the wire: new ones are appended at the end.
 using Message = std::variant<
     Hello, ExecuteRequest, CancelAttempt, AttemptAdmitted, AttemptRefused,
     AttemptChunk, AttemptFinished, AgentLeaving, Announce, RenewLease,
@@ -23,8 +23,8 @@
     AllotmentGrants, AttemptBegan, RateLimitSeen, SendPermitQuery,
     SendPermitReply>;
 
-/// Version of the protocol between processes. A process refuses a `Hello`
-/// with a higher one before it reads anything else.
+/// Version of the protocol between processes. A process rejects a `Hello` with
+/// a higher one before it reads anything else.
 constexpr std::uint32_t ProtocolVersion = 1;
 
 } // namespace pimentofront
--- a/packages/wire/pimentofront/src/Wire/PackedText.cpp
+++ b/packages/wire/pimentofront/src/Wire/PackedText.cpp
@@ -6,7 +6,7 @@
 namespace pimentofront {
 namespace {
 
-/// Against a damaged length: no document is near it.
+/// Rejects a damaged length; no document comes near this size.
 constexpr std::uint64_t MaxTextBytes = std::uint64_t(64) << 20;
 constexpr std::size_t LengthBytes = sizeof(std::uint64_t);
 
--- a/packages/wire/pimentofront/src/Wire/Quarantine.h
+++ b/packages/wire/pimentofront/src/Wire/Quarantine.h
@@ -8,30 +8,31 @@
 
 namespace pimentofront {
 
-/// What is believed of a request, by the backend servers that ended under it.
+/// State of a request, derived from the backend servers that exited under it.
 enum class QuarantineState : std::uint8_t {
   Clear,
-  /// Servers ended while they had it. It is tried by one attempt at a time.
+  /// Servers exited while they had it. One attempt at a time may try it.
   Watched,
-  /// It ends servers, so none gets it.
+  /// It crashes servers, so no server gets it.
   Quarantined,
 };
 
 /// \class RequestAtWork
 /// \ingroup Wire
-/// \brief A request that a backend server had when its process ended.
+/// \brief A request that a backend server had when its process exited.
 struct RequestAtWork {
   ContentHash Content;
-  /// The server had begun to answer it, so it had survived its beginning.
+  /// The server had begun to answer, so it did not crash when it began to run
+  /// the request.
   bool Answering = false;
-  /// Attempt that had the leave to try it; empty if nobody had.
+  /// Attempt that held the trial grant; empty if none did.
   AttemptId Holder;
   PIMENTOFRONT_FIELDS(RequestAtWork, Content, Answering, Holder)
 };
 
 /// \class ServerEnd
 /// \ingroup Wire
-/// \brief The end of a server's process, as it counts for one request.
+/// \brief The exit of a server's process, as counted for one request.
 struct ServerEnd {
   ServerProcess Server;
   bool Answering = false;
@@ -40,40 +41,40 @@
 
 /// \class QuarantineRecord
 /// \ingroup Wire
-/// \brief A request under which backend servers ended.
+/// \brief A request under which backend servers exited.
 struct QuarantineRecord {
   ContentHash Content;
-  /// Each process once, whoever saw it end.
+  /// Each process once, however many entries reported its exit.
   std::vector<ServerEnd> Ends;
   bool Quarantined = false;
-  /// The one attempt that may be made now, and for how long at most.
+  /// The one attempt that may be made now, and its maximum duration.
   AttemptId Holder;
   Duration HeldFor = Duration::zero();
-  /// Ends that were known when the leave was given.
+  /// Number of exits that were known when the trial grant was given.
   std::uint32_t EndsAtGrant = 0;
-  /// Trials since enough servers had ended for a quarantine, without a clear
-  /// end.
+  /// Trials after the number of exits sufficed for a quarantine, without a
+  /// conclusive result.
   std::uint32_t LateTrials = 0;
   /// How often it was put in quarantine.
   std::uint32_t Quarantines = 0;
-  /// Version of the ledger at the last change that others must know of.
+  /// Version of the ledger at the last change that is reported to entries.
   std::uint64_t ChangedAt = 0;
   PIMENTOFRONT_FIELDS(QuarantineRecord, Content, Ends, Quarantined, Holder,
                       HeldFor, EndsAtGrant, LateTrials, Quarantines, ChangedAt)
 };
 
-/// What entries have to know of one request.
+/// The state of one request as reported to entries.
 struct QuarantineNotice {
   ContentHash Content;
   QuarantineState State = QuarantineState::Clear;
   PIMENTOFRONT_FIELDS(QuarantineNotice, Content, State)
 };
 
-/// Replica to entry: what changed of the quarantine.
+/// Replica to entry: changes of the quarantine.
 struct QuarantineUpdate {
-  /// Whatever isn't named is clear.
+  /// Requests that are not listed are clear.
   bool Full = false;
-  /// Version of the ledger that the receiver has then.
+  /// Version of the ledger after this update.
   std::uint64_t To = 0;
   std::vector<QuarantineNotice> Notices;
   PIMENTOFRONT_FIELDS(QuarantineUpdate, Full, To, Notices)
--- a/packages/wire/pimentofront/src/Wire/RateLimit.h
+++ b/packages/wire/pimentofront/src/Wire/RateLimit.h
@@ -10,14 +10,14 @@
 namespace pimentofront {
 
 namespace detail {
-/// Rates are sent as whole numbers of requests in 1,000 seconds.
+/// Rates are sent as a whole number of requests per 1,000 seconds.
 constexpr double RateSeconds = 1000;
 } // namespace detail
 
 /// \ingroup Wire
-/// \returns a rate as it is sent.
+/// \returns \p perSecond in the unit in which rates are sent.
 inline std::uint64_t toPerThousandSeconds(double perSecond) {
-  // Above this it is as good as no limit.
+  // A higher rate is equivalent to no limit.
   constexpr double MostPerSecond = 1e9;
   return static_cast<std::uint64_t>(
       std::llround(std::min(perSecond, MostPerSecond) * detail::RateSeconds));
@@ -29,9 +29,9 @@
 /// requests of all entries together.
 struct RateLimit {
   bool Named = false;
-  /// Requests in 1,000 seconds.
+  /// Requests per 1,000 seconds.
   std::uint64_t PerThousandSeconds = 0;
-  /// How old that is: since the answer that named the limit came, or since the
+  /// Time since the answer that named the limit was received, or since the
   /// request was sent whose answer named none.
   Duration Age = Duration::zero();
   double perSecond() const {
@@ -42,12 +42,13 @@
 
 /// \class ColdStart
 /// \ingroup Wire
-/// \brief That a backend server is cold: it has started or come back just now,
-/// and takes only so many requests from all entries together for a while.
+/// \brief Describes a cold backend server: it has just started or recovered,
+/// and accepts a limited rate of requests from all entries together for a
+/// while.
 struct ColdStart {
-  /// Requests in 1,000 seconds.
+  /// Requests per 1,000 seconds.
   std::uint64_t PerThousandSeconds = 0;
-  /// How long yet; zero of one that isn't cold.
+  /// Remaining time of the cold start; zero if the server is not cold.
   Duration Left = Duration::zero();
   bool isCold() const { return Left > Duration::zero(); }
   double perSecond() const {
@@ -57,15 +58,15 @@
 };
 
 /// Entry to agent: what the answer to an attempt said of the engine's limit.
-/// Sent while the engine is known to be limited, and when that ends.
+/// Sent while the engine is known to be limited, and when the limit ends.
 struct RateLimitSeen {
   AttemptId Attempt;
   RateLimit Limit;
   PIMENTOFRONT_FIELDS(RateLimitSeen, Attempt, Limit)
 };
 
-/// Entry to leader: asks for sends to a limited or cold backend server without
-/// an agent.
+/// Entry to leader: requests a permit to send to a limited or cold backend
+/// server without an agent.
 struct SendPermitQuery {
   std::uint64_t Nonce = 0;
   ServerProcess Server;
@@ -74,15 +75,15 @@
   PIMENTOFRONT_FIELDS(SendPermitQuery, Nonce, Server, Limit, Cold)
 };
 
-/// Leader to entry, in answer to a query.
+/// Leader to entry, in reply to a query.
 struct SendPermitReply {
   std::uint64_t Nonce = 0;
   bool Granted = false;
-  /// The send may begin so long after the reply has come,
+  /// Time from the receipt of the reply until the request may be sent.
   Duration Delay = Duration::zero();
-  /// and has to begin so soon after that.
+  /// Time after `Delay` within which the request has to be sent.
   Duration Lifetime = Duration::zero();
-  /// When to ask again, if none was granted.
+  /// Retry-after, if the permit was not granted.
   Duration ComeBack = Duration::zero();
   PIMENTOFRONT_FIELDS(SendPermitReply, Nonce, Granted, Delay, Lifetime,
                       ComeBack)
--- a/packages/wire/pimentofront/src/Wire/Records.h
+++ b/packages/wire/pimentofront/src/Wire/Records.h
@@ -10,7 +10,7 @@
 
 namespace pimentofront {
 
-/// Number of a state of the configuration; grows with each accepted change.
+/// Number of a state of the configuration; increases with each accepted change.
 using Revision = std::uint64_t;
 
 /// \class VersionRecord
@@ -18,7 +18,7 @@
 /// \brief One version of an adapter. Its contents never change.
 struct VersionRecord {
   VersionNumber Number = 0;
-  /// Where the weight store keeps it.
+  /// Where the weight store has it.
   std::string Source;
   /// Requests are accepted for live versions only.
   bool Live = false;
@@ -27,7 +27,7 @@
 
 /// \class AdapterRecord
 /// \ingroup Wire
-/// \brief An adapter, its versions, and who changed it last.
+/// \brief An adapter, its versions, and the operator who last changed it.
 struct AdapterRecord {
   AdapterName Name;
   std::string BaseModel;
@@ -48,9 +48,11 @@
   std::uint32_t Weight = 1;
   /// Time in which an answer is useful.
   Duration Window = std::chrono::seconds(30);
-  /// Requests in progress for each entry process; 0 is no limit.
+  /// Maximum number of requests in progress for each entry process; 0 is no
+  /// limit.
   std::uint32_t InFlightLimit = 0;
-  /// Requests in progress for each caller and entry process; 0 is no limit.
+  /// Maximum number of requests in progress for each caller and entry process;
+  /// 0 is no limit.
   std::uint32_t CallerLimit = 0;
   Revision ChangedAt = 0;
   OperatorName ChangedBy;
@@ -60,7 +62,8 @@
 
 /// \class DrainRecord
 /// \ingroup Wire
-/// \brief Whether an operator has taken a backend server's host out of use.
+/// \brief Whether an operator has taken the host of a backend server out of
+/// use.
 struct DrainRecord {
   HostName Host;
   bool Drained = false;
@@ -71,8 +74,8 @@
 
 /// \class ZoneRecord
 /// \ingroup Wire
-/// \brief Whether an operator has had an availability zone evacuated: its
-/// backend servers get no new requests.
+/// \brief Whether an operator has evacuated an availability zone: its backend
+/// servers get no new requests.
 struct ZoneRecord {
   ZoneName Zone;
   bool Evacuated = false;
@@ -84,11 +87,11 @@
 /// \class DocumentRecord
 /// \ingroup Wire
 /// \brief The routing document in force, as an operator wrote it. The
-/// replicated state orders documents and never looks inside.
+/// replicated state orders documents by their number and does not read them.
 struct DocumentRecord {
-  /// The operators' own number; the highest one is in force.
+  /// Number chosen by the operators; the highest one is in force.
   std::uint64_t Number = 0;
-  /// The document's bytes, packed (see packText).
+  /// The compressed document (see packText()).
   std::string Packed;
   Revision ChangedAt = 0;
   OperatorName ChangedBy;
@@ -96,37 +99,38 @@
 };
 
 /// Any record of the configuration. Records are never deleted, so the
-/// difference between two revisions is the records that changed since.
+/// difference between two revisions consists of the records that changed in
+/// between.
 using ConfigurationRecord = std::variant<AdapterRecord, KindRecord, DrainRecord,
                                          DocumentRecord, ZoneRecord>;
 
 /// \class MemberRecord
 /// \ingroup Wire
-/// \brief What an agent announces of itself and its backend server.
+/// \brief What an agent reports of itself and its backend server.
 struct MemberRecord {
   HostName Host;
   /// Random number drawn when the agent process started. Of a registered
-  /// server: when its process started (see ServerProcess), 0 if it isn't told.
+  /// server: when its process started (see ServerProcess), 0 if unknown.
   std::uint64_t Incarnation = 0;
   ZoneName Zone;
   /// Address of the agent's peer listener, "ip:port".
   std::string Address;
-  /// Base model of the engine; empty when there is none.
+  /// Base model of the engine; empty without an engine.
   std::string BaseModel;
-  /// Plain services beside which the agent runs.
+  /// Plain services on the agent's host.
   std::vector<ServiceName> Services;
   std::uint32_t Slots = 0;
   std::uint32_t BatchCapacity = 0;
   /// Takes no new work.
   bool Leaving = false;
-  /// Lease ran out or the host said goodbye.
+  /// The lease expired or the host deregistered.
   bool Gone = false;
-  /// A backend server that registered itself, in place of an agent: `Host` is
-  /// the name of its process, `Address` its HTTP address, `Slots` the requests
-  /// that it runs at one time.
+  /// A backend server without an agent, which registered itself: `Host` is the
+  /// name of its process, `Address` its HTTP address, `Slots` the number of
+  /// requests that it runs concurrently.
   bool Registered = false;
-  /// Of a registered server: how long it is cold yet, by its last word. A cold
-  /// server takes fewer requests than usual.
+  /// Of a registered server: remaining time of its cold start, as last
+  /// reported. A cold server takes fewer requests than usual.
   Duration ColdFor = Duration::zero();
   /// \returns the process of a registered server.
   ServerProcess process() const { return {Host, Incarnation}; }
