--- a/packages/serving/pimentofront/src/Serving/LoadGate.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadGate.cpp
@@ -40,7 +40,7 @@
 
 StaticShare::StaticShare(double loadsPerSecond, std::uint32_t members)
     : LoadsPerSecond(loadsPerSecond), Members(std::max(members, 1U)) {
-  assert(loadsPerSecond > 0 && "the weight store allows some loads");
+  assert(loadsPerSecond > 0 && "loadsPerSecond is positive");
 }
 
 std::optional<AdapterKey>
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
@@ -16,8 +16,8 @@
 
 LoadScheduler::LoadScheduler(const LoadSchedulerOptions &options)
     : Options(options), LoadTime(options.LoadTime) {
-  assert(options.LoadsPerSecond > 0 && "the weight store allows some loads");
-  assert(options.Concurrent > 0 && "at least one load runs at one time");
+  assert(options.LoadsPerSecond > 0 && "LoadsPerSecond is positive");
+  assert(options.Concurrent > 0 && "Concurrent is at least 1");
 }
 
 LoadScheduler::Rank LoadScheduler::rankOf(TimePoint now,
--- a/packages/serving/pimentofront/src/Serving/Popularity.cpp
+++ b/packages/serving/pimentofront/src/Serving/Popularity.cpp
@@ -20,8 +20,8 @@
     : Options(options) {
   assert(options.HalfLife > Duration::zero() &&
          options.SessionHalfLife > Duration::zero() &&
-         "a half-life is a span of time");
-  assert(options.Capacity > 1 && "the table needs room for what it compares");
+         "half-lives are positive");
+  assert(options.Capacity > 1 && "the capacity is at least 2");
 }
 
 double PopularityTable::decayed(TimePoint now, const Count &count) const {
--- a/packages/serving/pimentofront/src/Serving/SlotTable.cpp
+++ b/packages/serving/pimentofront/src/Serving/SlotTable.cpp
@@ -35,7 +35,7 @@
 
 void SlotTable::beginLoad(const AdapterKey &key,
                           const std::optional<AdapterKey> &victim) {
-  assert(!find(key) && "an adapter is in one slot of an engine at most");
+  assert(!find(key) && "an adapter is in at most one slot of an engine");
   Slot *slot = nullptr;
   if (victim) {
     slot = find(*victim);
@@ -43,7 +43,7 @@
     const auto it = std::ranges::find(Slots, SlotState::Empty, &Slot::State);
     slot = it == Slots.end() ? nullptr : &*it;
   }
-  assert(slot && "choose a victim that is resident, or have an empty slot");
+  assert(slot && "the victim is resident, or a slot is empty");
   assert(slot->Pins == 0 && "an adapter that serves a request is not evicted");
   *slot = Slot{.State = SlotState::Loading, .Key = key};
 }
--- a/packages/wire/pimentofront/src/Wire/Codec.cpp
+++ b/packages/wire/pimentofront/src/Wire/Codec.cpp
@@ -209,7 +209,7 @@
     return tl::unexpected(DecodeError{"unknown format version"});
   const Json json = fromBytes(bytes.substr(1));
   if (json.is_discarded())
-    return tl::unexpected(DecodeError{"not proper CBOR"});
+    return tl::unexpected(DecodeError{"not valid CBOR"});
   T value;
   try {
     fromJson(json, value);
