--- a/packages/base/pimentofront/src/Base/ContentHash.cpp
+++ b/packages/base/pimentofront/src/Base/ContentHash.cpp
@@ -21,8 +21,8 @@
   std::uint64_t n = 0;
   const auto read = std::from_chars(
       digits.data(), digits.data() + digits.size(), n, Hexadecimal);
-  const bool whole = read.ptr == digits.data() + digits.size();
-  return read.ec == std::errc() && whole ? n : 0;
+  const bool complete = read.ptr == digits.data() + digits.size();
+  return read.ec == std::errc() && complete ? n : 0;
 }
 
 /// \returns eight bytes as a number, the first one most significant (big
--- a/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
+++ b/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
@@ -10,7 +10,7 @@
 /// \ingroup Serving
 struct AdaptiveLoadsOptions {
   /// Maximum number of concurrent loads.
-  double Most = 4;
+  double MaxConcurrent = 4;
   /// A load that takes this many times the fastest one counts as slowed down by
   /// the loads of other agents.
   double SlowFactor = 1.5;
@@ -36,7 +36,7 @@
 class AdaptiveLoads : public LoadGate {
 public:
   explicit AdaptiveLoads(const AdaptiveLoadsOptions &options)
-      : Options(options), Limit(options.Most), Speed(options.Speed) {}
+      : Options(options), Limit(options.MaxConcurrent), Speed(options.Speed) {}
 
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) override;
@@ -48,7 +48,7 @@
 private:
   AdaptiveLoadsOptions Options;
   double Limit;
-  std::uint32_t UnderWay = 0;
+  std::uint32_t LoadsInProgress = 0;
   StoreSpeed Speed;
 };
 
--- a/packages/serving/pimentofront/src/Serving/EvictionPolicy.cpp
+++ b/packages/serving/pimentofront/src/Serving/EvictionPolicy.cpp
@@ -2,13 +2,13 @@
 
 namespace pimentofront {
 
-double LeastRecentlyUsed::worthOf(TimePoint now, const Slot &slot,
-                                  const PopularityTable &) const {
+double LeastRecentlyUsed::utilityOf(TimePoint now, const Slot &slot,
+                                    const PopularityTable &) const {
   return 1 / (1 + toSeconds(now - slot.LastUsed));
 }
 
-double LeastPopular::worthOf(TimePoint now, const Slot &slot,
-                             const PopularityTable &popularity) const {
+double LeastPopular::utilityOf(TimePoint now, const Slot &slot,
+                               const PopularityTable &popularity) const {
   return popularity.valueOf(now, slot.Key);
 }
 
--- a/packages/serving/pimentofront/src/Serving/EvictionPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/EvictionPolicy.h
@@ -14,8 +14,8 @@
 class EvictionPolicy {
 public:
   virtual ~EvictionPolicy() = default;
-  virtual double worthOf(TimePoint now, const Slot &slot,
-                         const PopularityTable &popularity) const = 0;
+  virtual double utilityOf(TimePoint now, const Slot &slot,
+                           const PopularityTable &popularity) const = 0;
 };
 
 /// \class LeastRecentlyUsed
@@ -23,8 +23,8 @@
 /// \brief Evicts the adapter that was used longest ago; a baseline.
 class LeastRecentlyUsed : public EvictionPolicy {
 public:
-  double worthOf(TimePoint now, const Slot &slot,
-                 const PopularityTable &popularity) const override;
+  double utilityOf(TimePoint now, const Slot &slot,
+                   const PopularityTable &popularity) const override;
 };
 
 /// \class LeastPopular
@@ -32,8 +32,8 @@
 /// \brief Evicts the adapter with the lowest popularity (see PopularityTable).
 class LeastPopular : public EvictionPolicy {
 public:
-  double worthOf(TimePoint now, const Slot &slot,
-                 const PopularityTable &popularity) const override;
+  double utilityOf(TimePoint now, const Slot &slot,
+                   const PopularityTable &popularity) const override;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/KnownRateLimit.cpp
+++ b/packages/serving/pimentofront/src/Serving/KnownRateLimit.cpp
@@ -4,20 +4,20 @@
 
 namespace pimentofront {
 
-bool KnownRateLimit::apply(TimePoint now, const RateLimit &word) {
-  const TimePoint saidAt = now - std::max(word.Age, Duration::zero());
-  if (SaidAt && saidAt < *SaidAt)
+bool KnownRateLimit::apply(TimePoint now, const RateLimit &report) {
+  const TimePoint namedAt = now - std::max(report.Age, Duration::zero());
+  if (NamedAt && namedAt < *NamedAt)
     return false;
-  SaidAt = saidAt;
-  RateLimit next = word;
+  NamedAt = namedAt;
+  RateLimit next = report;
   next.Age = Duration::zero();
   return std::exchange(Limit, next) != next;
 }
 
 RateLimit KnownRateLimit::at(TimePoint now) const {
   RateLimit result = Limit;
-  if (SaidAt)
-    result.Age = now - *SaidAt;
+  if (NamedAt)
+    result.Age = now - *NamedAt;
   return result;
 }
 
--- a/packages/serving/pimentofront/src/Serving/KnownRateLimit.h
+++ b/packages/serving/pimentofront/src/Serving/KnownRateLimit.h
@@ -14,7 +14,7 @@
 class KnownRateLimit {
 public:
   /// \returns whether the limit in force changed or ended.
-  bool apply(TimePoint now, const RateLimit &word);
+  bool apply(TimePoint now, const RateLimit &report);
   bool isNamed() const { return Limit.Named; }
   double perSecond() const { return Limit.perSecond(); }
   /// \returns the limit with its age, to be sent to other processes.
@@ -23,10 +23,10 @@
                           const KnownRateLimit &) = default;
 
 private:
-  /// Without its age; see SaidAt.
+  /// Without its age; see NamedAt.
   RateLimit Limit;
   /// When the server named the limit or its end.
-  std::optional<TimePoint> SaidAt;
+  std::optional<TimePoint> NamedAt;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/LoadController.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadController.cpp
@@ -16,14 +16,14 @@
       continue;
     Demand demand{.Key = key, .Slack = Duration::max()};
     for (const WaitingAttempt &it : queue)
-      count(now, it, demand);
+      addToDemand(now, it, demand);
     result.push_back(demand);
   }
   return result;
 }
 
-void LoadController::count(TimePoint now, const WaitingAttempt &attempt,
-                           Demand &demand) const {
+void LoadController::addToDemand(TimePoint now, const WaitingAttempt &attempt,
+                                 Demand &demand) const {
   const std::uint32_t weight = std::max(attempt.Request.Weight, 1U);
   const Duration reading =
       Board.Prefill.reading(attempt.Request.Key, attempt.Request.Parts);
@@ -35,45 +35,45 @@
                               ? *attempt.OnTimeUntil
                               : stallLimit(attempt, Board.Options.StallShare);
   demand.Weight += weight;
-  demand.Worth += onTime ? weight : Board.Options.LateWorth * weight;
+  demand.Utility += onTime ? weight : Board.Options.LateWorth * weight;
   demand.Slack = std::min(demand.Slack, limit - now);
 }
 
-LoadController::Room LoadController::findRoom(TimePoint now) const {
+LoadController::SlotChoice LoadController::findSlot(TimePoint now) const {
   if (Board.Slots.hasEmpty())
     return {.Found = true};
-  Room room;
-  double least = 0;
+  SlotChoice choice;
+  double lowestUtility = 0;
   for (const Slot &it : Board.Slots.all()) {
     if (!mayEvict(it, Board.Waiting))
       continue;
-    const double worth = Board.Eviction.worthOf(now, it, Board.Popularity);
-    if (room.Found && worth >= least)
+    const double utility = Board.Eviction.utilityOf(now, it, Board.Popularity);
+    if (choice.Found && utility >= lowestUtility)
       continue;
-    least = worth;
-    room = {.Found = true, .Victim = it.Key};
+    lowestUtility = utility;
+    choice = {.Found = true, .Victim = it.Key};
   }
-  return room;
+  return choice;
 }
 
 void LoadController::run(TimePoint now) {
   if (!Board.EngineReady)
     return;
   while (true) {
-    const Room room = findRoom(now);
+    const SlotChoice choice = findSlot(now);
     // Without a free or evictable slot no load could begin, so none is
     // requested.
-    const std::vector<Demand> open =
-        room.Found ? demands(now) : std::vector<Demand>();
-    const std::optional<AdapterKey> key = Gate.next(now, Board, open);
+    const std::vector<Demand> loadable =
+        choice.Found ? demands(now) : std::vector<Demand>();
+    const std::optional<AdapterKey> key = Gate.next(now, Board, loadable);
     if (!key)
       return;
-    begin(*key, room.Victim);
+    startLoad(*key, choice.Victim);
   }
 }
 
-void LoadController::begin(const AdapterKey &key,
-                           std::optional<AdapterKey> victim) {
+void LoadController::startLoad(const AdapterKey &key,
+                               std::optional<AdapterKey> victim) {
   if (const Slot *former = Board.Slots.otherVersion(key))
     victim = former->Key;
   Board.Slots.beginLoad(key, victim);
@@ -95,13 +95,13 @@
   Board.Slots.finishLoad(now, key, succeeded);
   Gate.onLoadEnded(now, Board, key, took);
   if (!succeeded)
-    return setAside(now, key);
+    return onLoadFailed(now, key);
   Board.LoadTimes.onLoaded(key, took);
   Board.SetAside.erase(key);
-  endStalls(now, key);
+  recordLoadStalls(now, key);
 }
 
-void LoadController::endStalls(TimePoint now, const AdapterKey &key) {
+void LoadController::recordLoadStalls(TimePoint now, const AdapterKey &key) {
   const auto it = Board.Waiting.find(key);
   if (it == Board.Waiting.end())
     return;
@@ -110,7 +110,7 @@
       attempt.LoadStall = now - attempt.ArrivedAt;
 }
 
-void LoadController::setAside(TimePoint now, const AdapterKey &key) {
+void LoadController::onLoadFailed(TimePoint now, const AdapterKey &key) {
   FailedLoads &failed = Board.SetAside[key];
   Duration pause = Board.Options.FailedLoadPause;
   for (std::uint32_t i = 0; i < failed.InSequence; ++i)
--- a/packages/serving/pimentofront/src/Serving/LoadController.h
+++ b/packages/serving/pimentofront/src/Serving/LoadController.h
@@ -22,18 +22,18 @@
                    Duration took);
 
 private:
-  struct Room {
+  struct SlotChoice {
     bool Found = false;
     std::optional<AdapterKey> Victim;
   };
   std::vector<Demand> demands(TimePoint now) const;
   /// Adds a waiting attempt to the demand for its adapter.
-  void count(TimePoint now, const WaitingAttempt &attempt,
-             Demand &demand) const;
-  Room findRoom(TimePoint now) const;
-  void begin(const AdapterKey &key, std::optional<AdapterKey> victim);
-  void setAside(TimePoint now, const AdapterKey &key);
-  void endStalls(TimePoint now, const AdapterKey &key);
+  void addToDemand(TimePoint now, const WaitingAttempt &attempt,
+                   Demand &demand) const;
+  SlotChoice findSlot(TimePoint now) const;
+  void startLoad(const AdapterKey &key, std::optional<AdapterKey> victim);
+  void onLoadFailed(TimePoint now, const AdapterKey &key);
+  void recordLoadStalls(TimePoint now, const AdapterKey &key);
 
   AgentBoard &Board;
   LoadGate &Gate;
--- a/packages/serving/pimentofront/src/Serving/LoadGate.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadGate.cpp
@@ -12,17 +12,17 @@
 
 /// A demand is sent again when its weight has grown by half or dropped by half,
 /// or after this time in case a new scheduler has taken over.
-constexpr Duration TellAgainAfter = std::chrono::seconds(1);
-bool changedMuch(const Demand &before, const Demand &now) {
+constexpr Duration DemandResendPeriod = std::chrono::seconds(1);
+bool changedSignificantly(const Demand &before, const Demand &now) {
   return 2 * now.Weight > 3 * before.Weight || 2 * now.Weight < before.Weight;
 }
 
 } // namespace
 
-const Demand *worthiestDemand(const std::vector<Demand> &demands) {
+const Demand *highestUtilityDemand(const std::vector<Demand> &demands) {
   const auto before = [](const Demand &a, const Demand &b) {
-    if (a.Worth != b.Worth)
-      return a.Worth > b.Worth;
+    if (a.Utility != b.Utility)
+      return a.Utility > b.Utility;
     if (a.Weight != b.Weight)
       return a.Weight > b.Weight;
     return a.Slack < b.Slack;
@@ -34,7 +34,7 @@
 std::optional<AdapterKey>
 UncoordinatedLoads::next(TimePoint, AgentBoard &,
                          const std::vector<Demand> &demands) {
-  const Demand *it = worthiestDemand(demands);
+  const Demand *it = highestUtilityDemand(demands);
   return it ? std::optional(it->Key) : std::nullopt;
 }
 
@@ -48,7 +48,7 @@
                   const std::vector<Demand> &demands) {
   if (Busy || now < NextAllowed)
     return std::nullopt;
-  const Demand *it = worthiestDemand(demands);
+  const Demand *it = highestUtilityDemand(demands);
   if (!it)
     return std::nullopt;
   Busy = true;
@@ -66,38 +66,39 @@
 }
 
 ScheduledLoads::ScheduledLoads(double loadsPerSecond, std::uint32_t members,
-                               Duration silence)
-    : Share(std::in_place, loadsPerSecond, members), Silence(silence) {}
+                               Duration schedulerTimeout)
+    : Share(std::in_place, loadsPerSecond, members),
+      SchedulerTimeout(schedulerTimeout) {}
 
-ScheduledLoads::ScheduledLoads(LoadGate &fallback, Duration silence)
-    : Given(&fallback), Silence(silence) {}
+ScheduledLoads::ScheduledLoads(LoadGate &fallback, Duration schedulerTimeout)
+    : GivenFallback(&fallback), SchedulerTimeout(schedulerTimeout) {}
 
-bool ScheduledLoads::schedulerAway(TimePoint now) const {
-  return AskedAt && now - *AskedAt >= Silence;
+bool ScheduledLoads::schedulerUnavailable(TimePoint now) const {
+  return UnansweredSince && now - *UnansweredSince >= SchedulerTimeout;
 }
 
 std::optional<AdapterKey>
 ScheduledLoads::next(TimePoint now, AgentBoard &board,
                      const std::vector<Demand> &demands) {
-  tellDemands(now, board, demands);
+  sendDemands(now, board, demands);
   while (!Tickets.empty()) {
     const LoadTicket ticket = Tickets.front();
     Tickets.erase(Tickets.begin());
     if (contains(demands, ticket.Key)) {
-      ToldDemands.erase(ticket.Key);
+      SentDemands.erase(ticket.Key);
       InUse.emplace(ticket.Key, ticket);
       return ticket.Key;
     }
     returnTicket(board, ticket);
   }
-  if (schedulerAway(now))
+  if (schedulerUnavailable(now))
     return fallback().next(now, board, demands);
   return std::nullopt;
 }
 
-void ScheduledLoads::tellDemands(TimePoint now, AgentBoard &board,
+void ScheduledLoads::sendDemands(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) {
-  const auto tell = [&](const Demand &it) {
+  const auto send = [&](const Demand &it) {
     board.Commands.push_back(SendToScheduler{LoadDemand{
         .Host = board.Options.Host,
         .Incarnation = board.Options.Incarnation,
@@ -107,24 +108,24 @@
     }});
   };
   for (const Demand &it : demands) {
-    const auto told = ToldDemands.find(it.Key);
-    const bool isNew = told == ToldDemands.end();
-    if (!isNew && !changedMuch(told->second.Last, it) &&
-        now - told->second.At < TellAgainAfter)
+    const auto sent = SentDemands.find(it.Key);
+    const bool isNew = sent == SentDemands.end();
+    if (!isNew && !changedSignificantly(sent->second.Last, it) &&
+        now - sent->second.At < DemandResendPeriod)
       continue;
-    tell(it);
-    ToldDemands[it.Key] = {it, now};
-    if (!AskedAt)
-      AskedAt = now;
+    send(it);
+    SentDemands[it.Key] = {it, now};
+    if (!UnansweredSince)
+      UnansweredSince = now;
   }
-  std::erase_if(ToldDemands, [&](const auto &it) {
+  std::erase_if(SentDemands, [&](const auto &it) {
     if (contains(demands, it.first))
       return false;
-    tell(Demand{.Key = it.first});
+    send(Demand{.Key = it.first});
     return true;
   });
-  if (ToldDemands.empty())
-    AskedAt.reset();
+  if (SentDemands.empty())
+    UnansweredSince.reset();
 }
 
 void ScheduledLoads::returnTicket(AgentBoard &board, const LoadTicket &ticket) {
@@ -134,13 +135,13 @@
 
 void ScheduledLoads::onTicket(TimePoint, AgentBoard &,
                               const LoadTicket &ticket) {
-  AskedAt.reset();
+  UnansweredSince.reset();
   Tickets.push_back(ticket);
 }
 
 void ScheduledLoads::onStatus(TimePoint now, AgentBoard &board,
                               const LoadQueueStatus &status) {
-  AskedAt.reset();
+  UnansweredSince.reset();
   board.LoadBacklog = status.Backlog;
   board.LoadBacklogAt = now;
 }
--- a/packages/serving/pimentofront/src/Serving/LoadGate.h
+++ b/packages/serving/pimentofront/src/Serving/LoadGate.h
@@ -16,7 +16,7 @@
   Duration Slack = Duration::zero();
   /// Utility of a load that begins now: the weight of the requests that it lets
   /// be on time, and a part of the weight of the others.
-  double Worth = 0;
+  double Utility = 0;
   friend auto operator<=>(const Demand &, const Demand &) = default;
 };
 
@@ -24,7 +24,7 @@
 /// the most weight waiting, then the one with the least slack; null when there
 /// is none. Ordering by slack alone would, while the store is congested, load
 /// each adapter just too late.
-const Demand *worthiestDemand(const std::vector<Demand> &demands);
+const Demand *highestUtilityDemand(const std::vector<Demand> &demands);
 
 /// \class LoadGate
 /// \ingroup Serving
@@ -87,13 +87,13 @@
 /// scheduler has not answered for too long.
 class ScheduledLoads : public LoadGate {
 public:
-  /// \param silence time without an answer after which the scheduler counts as
-  /// unavailable.
+  /// \param schedulerTimeout time without an answer after which the scheduler
+  /// counts as unavailable.
   ScheduledLoads(double loadsPerSecond, std::uint32_t members,
-                 Duration silence = std::chrono::seconds(2));
+                 Duration schedulerTimeout = std::chrono::seconds(2));
   /// \param fallback decides while the scheduler is unavailable; must outlive
   /// this gate.
-  ScheduledLoads(LoadGate &fallback, Duration silence);
+  ScheduledLoads(LoadGate &fallback, Duration schedulerTimeout);
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) override;
   void onTicket(TimePoint now, AgentBoard &board,
@@ -105,23 +105,23 @@
                    Duration took) override;
 
 private:
-  void tellDemands(TimePoint now, AgentBoard &board,
+  void sendDemands(TimePoint now, AgentBoard &board,
                    const std::vector<Demand> &demands);
   void returnTicket(AgentBoard &board, const LoadTicket &ticket);
-  bool schedulerAway(TimePoint now) const;
+  bool schedulerUnavailable(TimePoint now) const;
   /// \returns the gate that decides while the scheduler is unavailable.
-  LoadGate &fallback() { return Given ? *Given : *Share; }
+  LoadGate &fallback() { return GivenFallback ? *GivenFallback : *Share; }
 
-  struct Told {
+  struct SentDemand {
     Demand Last;
     TimePoint At;
   };
   std::optional<StaticShare> Share;
-  LoadGate *Given = nullptr;
-  Duration Silence;
+  LoadGate *GivenFallback = nullptr;
+  Duration SchedulerTimeout;
   /// Set while no answer to a demand has been received.
-  std::optional<TimePoint> AskedAt;
-  std::map<AdapterKey, Told> ToldDemands;
+  std::optional<TimePoint> UnansweredSince;
+  std::map<AdapterKey, SentDemand> SentDemands;
   std::vector<LoadTicket> Tickets;
   std::map<AdapterKey, LoadTicket> InUse;
 };
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
@@ -22,7 +22,7 @@
 
 LoadScheduler::Rank LoadScheduler::rankOf(TimePoint now,
                                           const Waiting &waiting) const {
-  return {.Hopeless = !Options.Measured && waiting.Deadline < now + LoadTime,
+  return {.Infeasible = !Options.Measured && waiting.Deadline < now + LoadTime,
           .NegativeScore = -static_cast<double>(waiting.Weight),
           .Since = waiting.Since};
 }
@@ -38,11 +38,11 @@
   Waiting &waiting = it->second;
   if (isNew) {
     waiting.Since = now;
-    noteArrival(now, demand.WaitingWeight);
+    recordArrival(now, demand.WaitingWeight);
   }
   waiting.Weight = demand.WaitingWeight;
   waiting.Deadline = now + demand.Slack;
-  waiting.HeardAt = now;
+  waiting.LastReceivedAt = now;
   // With `Measured` the scheduler only decides the order and reports no wait.
   if (Options.Measured)
     return {.Key = demand.Key};
@@ -54,33 +54,34 @@
       ++ahead;
   // Demands of a higher weight that arrive later lengthen the wait (formula for
   // a priority queue, Cobham, 1954).
-  constexpr double MostOvertaking = 0.95;
+  constexpr double MaxOvertakingShare = 0.95;
   const double overtaking =
-      std::min(overtakingShare(now, waiting.Weight), MostOvertaking);
-  const double wait = toSeconds(timeOfLoad()) * static_cast<double>(ahead);
+      std::min(overtakingShare(now, waiting.Weight), MaxOvertakingShare);
+  const double wait = toSeconds(timePerLoad()) * static_cast<double>(ahead);
   return {.Key = demand.Key, .Backlog = fromSeconds(wait / (1 - overtaking))};
 }
 
-Duration LoadScheduler::timeOfLoad() const {
+Duration LoadScheduler::timePerLoad() const {
   return std::max(LoadTime / Options.Concurrent,
                   fromSeconds(1 / Options.LoadsPerSecond));
 }
 
-void LoadScheduler::noteArrival(TimePoint now, std::uint32_t weight) {
-  Arrivals &arrivals = ByWeight[std::min(weight, MaxCountedWeight)];
-  const double faded = remainingShare(now - arrivals.At, ArrivalHalfLife);
-  arrivals.Count = arrivals.Count * faded + 1;
+void LoadScheduler::recordArrival(TimePoint now, std::uint32_t weight) {
+  Arrivals &arrivals = ArrivalsByWeight[std::min(weight, MaxCountedWeight)];
+  const double decay = remainingShare(now - arrivals.At, ArrivalHalfLife);
+  arrivals.Count = arrivals.Count * decay + 1;
   arrivals.At = now;
 }
 
 double LoadScheduler::overtakingShare(TimePoint now,
                                       std::uint32_t weight) const {
   double perSecond = 0;
-  for (auto it = ByWeight.upper_bound(weight); it != ByWeight.end(); ++it)
+  for (auto it = ArrivalsByWeight.upper_bound(weight);
+       it != ArrivalsByWeight.end(); ++it)
     perSecond += it->second.Count *
                  remainingShare(now - it->second.At, ArrivalHalfLife) *
                  std::numbers::ln2 / toSeconds(ArrivalHalfLife);
-  return perSecond * toSeconds(timeOfLoad());
+  return perSecond * toSeconds(timePerLoad());
 }
 
 void LoadScheduler::onDone(TimePoint now, const LoadDone &done) {
@@ -90,10 +91,10 @@
   const Outstanding load = it->second;
   Issued.erase(it);
   if (Options.Measured)
-    return learn(now, load, done.Took);
-  constexpr int SmoothingShare = 8;
+    return updateWindow(now, load, done.Took);
+  constexpr int SmoothingDivisor = 8;
   if (done.Started)
-    LoadTime += (done.Took - LoadTime) / SmoothingShare;
+    LoadTime += (done.Took - LoadTime) / SmoothingDivisor;
   else
     NextAllowed = now; // The weight store wasn't used.
 }
@@ -108,25 +109,26 @@
     hosts.insert(id.Host);
   for (const auto &[ticket, it] : Issued)
     hosts.insert(it.Host);
-  const double share = Options.FirstShare * static_cast<double>(hosts.size());
-  const double least = std::max<double>(share, Options.Concurrent);
-  return static_cast<std::size_t>(std::max(Window, least));
+  const double share =
+      Options.SlowStartHostShare * static_cast<double>(hosts.size());
+  const double minimum = std::max<double>(share, Options.Concurrent);
+  return static_cast<std::size_t>(std::max(Window, minimum));
 }
 
-void LoadScheduler::learn(TimePoint now, const Outstanding &load,
-                          Duration took) {
-  const std::optional<double> slowdown = Speed.note(took);
+void LoadScheduler::updateWindow(TimePoint now, const Outstanding &load,
+                                 Duration took) {
+  const std::optional<double> slowdown = Speed.record(took);
   if (!slowdown)
     return;
   Window = std::max(Window, static_cast<double>(limit()));
   if (*slowdown > Options.SlowFactor) {
-    if (load.IssuedAt < ShrunkAt)
+    if (load.IssuedAt < LastDecreaseAt)
       return;
     SlowStart = false;
     constexpr double Half = 0.5;
-    const double kept = std::max(Options.KeptAfterSlow / *slowdown, Half);
-    Window = std::max(Window * kept, 1.0);
-    ShrunkAt = now;
+    const double factor = std::max(Options.DecreaseHeadroom / *slowdown, Half);
+    Window = std::max(Window * factor, 1.0);
+    LastDecreaseAt = now;
     return;
   }
   // While no demand waits, a higher limit would not let more loads begin.
@@ -143,10 +145,11 @@
 
 void LoadScheduler::expire(TimePoint now) {
   std::erase_if(Demands, [&](const auto &it) {
-    return it.second.HeardAt + Options.DemandLifetime < now;
+    return it.second.LastReceivedAt + Options.DemandLifetime < now;
   });
   std::erase_if(Issued, [&](const auto &it) {
-    return it.second.IssuedAt + LoadTime * Options.LostAfterLoadTimes < now;
+    return it.second.IssuedAt + LoadTime * Options.TicketLifetimeInLoadTimes <
+           now;
   });
 }
 
@@ -155,8 +158,8 @@
   std::vector<IssuedTicket> result;
   // A ticket moves its host from the demands to the issued tickets, so the
   // number of hosts, and with it the limit, stays the same within this loop.
-  const std::size_t most = limit();
-  while (Issued.size() < most && now >= NextAllowed && !Demands.empty()) {
+  const std::size_t maxIssued = limit();
+  while (Issued.size() < maxIssued && now >= NextAllowed && !Demands.empty()) {
     const auto best = std::ranges::min_element(
         Demands, {}, [&](const auto &it) { return rankOf(now, it.second); });
     const std::uint64_t number = ++LastTicket;
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.h
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.h
@@ -23,7 +23,7 @@
   bool Measured = false;
   /// During slow start, at least this part of the hosts with demands or tickets
   /// may load concurrently.
-  double FirstShare = 0.25;
+  double SlowStartHostShare = 0.25;
   /// Growth of the limit for each load at full speed, until the first slow one.
   /// 0.5 makes the limit grow by half in the time of one load, so that about
   /// four load times reach the store's capacity without overshooting it far in
@@ -35,11 +35,11 @@
   /// After a slow load the limit is multiplied by this value over the slowdown,
   /// so that it stays a tenth above what the store served at full speed; never
   /// by less than one half.
-  double KeptAfterSlow = 1.1;
+  double DecreaseHeadroom = 1.1;
   /// Expected time of a load until some have been measured.
   Duration LoadTime = std::chrono::milliseconds(250);
   /// A ticket that has not been returned after this many load times is lost.
-  std::uint32_t LostAfterLoadTimes = 8;
+  std::uint32_t TicketLifetimeInLoadTimes = 8;
   /// A demand that has not been repeated for this time is dropped.
   Duration DemandLifetime = std::chrono::seconds(3);
 };
@@ -90,7 +90,7 @@
     std::uint32_t Weight = 0;
     TimePoint Deadline;
     TimePoint Since;
-    TimePoint HeardAt;
+    TimePoint LastReceivedAt;
   };
   struct Outstanding {
     HostName Host;
@@ -98,7 +98,7 @@
   };
   /// Position in the order of loads; smaller goes first.
   struct Rank {
-    bool Hopeless = false;
+    bool Infeasible = false;
     double NegativeScore = 0;
     TimePoint Since;
     friend auto operator<=>(const Rank &, const Rank &) = default;
@@ -107,10 +107,10 @@
   /// \returns the share of the loads that will go to demands of a higher weight
   /// that have yet to arrive and overtake this one.
   double overtakingShare(TimePoint now, std::uint32_t weight) const;
-  void noteArrival(TimePoint now, std::uint32_t weight);
-  Duration timeOfLoad() const;
+  void recordArrival(TimePoint now, std::uint32_t weight);
+  Duration timePerLoad() const;
   /// Updates the limit from a load that has ended.
-  void learn(TimePoint now, const Outstanding &load, Duration took);
+  void updateWindow(TimePoint now, const Outstanding &load, Duration took);
   void expire(TimePoint now);
 
   LoadSchedulerOptions Options;
@@ -122,19 +122,19 @@
   /// Receives some hundred loads a second from all hosts together, so its
   /// estimate ages less with each load than an agent's, and about as much over
   /// time.
-  StoreSpeed Speed{{.Forget = 0.00002}};
+  StoreSpeed Speed{{.Aging = 0.00002}};
   /// The learned limit of concurrent loads.
   double Window = 0;
   /// When the limit was last reduced. Slow loads that were issued before do not
   /// reduce it again.
-  TimePoint ShrunkAt;
+  TimePoint LastDecreaseAt;
   bool SlowStart = true;
   /// Decayed counts of new demands by their initial weight.
   struct Arrivals {
     double Count = 0;
     TimePoint At;
   };
-  std::map<std::uint32_t, Arrivals> ByWeight;
+  std::map<std::uint32_t, Arrivals> ArrivalsByWeight;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/Popularity.cpp
+++ b/packages/serving/pimentofront/src/Serving/Popularity.cpp
@@ -29,17 +29,18 @@
 }
 
 double PopularityTable::sessionShare() const {
-  return std::max(Followed - ExpectedFollowed, 0.0);
+  return std::max(FollowedShare - ExpectedFollowedShare, 0.0);
 }
 
-double PopularityTable::worth(TimePoint now, const Count &count) const {
-  const double faded = remainingShare(now - count.At, Options.SessionHalfLife);
+double PopularityTable::expectedRequests(TimePoint now,
+                                         const Count &count) const {
+  const double decay = remainingShare(now - count.At, Options.SessionHalfLife);
   // The session share is spread over the session's half-life, the count over
   // the long one: their ratio converts the share to requests in a long
   // half-life.
   const double ratio =
       toSeconds(Options.HalfLife) / toSeconds(Options.SessionHalfLife);
-  return decayed(now, count) + sessionShare() * faded * ratio;
+  return decayed(now, count) + sessionShare() * decay * ratio;
 }
 
 bool PopularityTable::isFollowed(TimePoint now, const Count &before) const {
@@ -47,47 +48,48 @@
   return before.Value > 0 && now - before.At <= horizon;
 }
 
-void PopularityTable::learn(TimePoint now, const Count &before) {
+void PopularityTable::learnSessions(TimePoint now, const Count &before) {
   const Duration horizon = HorizonHalfLives * Options.SessionHalfLife;
   const double followed = isFollowed(now, before) ? 1 : 0;
   // A steady rate r keeps the count at r times half-life over ln 2.
   const double rate =
       decayed(now, before) * std::numbers::ln2 / toSeconds(Options.HalfLife);
   const double expected = 1 - std::exp(-rate * toSeconds(horizon));
-  Followed += LearningRate * (followed - Followed);
-  ExpectedFollowed += LearningRate * (expected - ExpectedFollowed);
+  FollowedShare += LearningRate * (followed - FollowedShare);
+  ExpectedFollowedShare += LearningRate * (expected - ExpectedFollowedShare);
 }
 
 void PopularityTable::noteRequest(TimePoint now, const AdapterKey &key) {
   if (Counts.size() >= Options.Capacity && !Counts.contains(key))
-    forgetHalf(now);
+    removeLessPopularHalf(now);
   Count &count = Counts[key];
-  learn(now, count);
+  learnSessions(now, count);
   // A request that follows within a session says little about the long-term
   // popularity: it counts by the probability that it would have come without
   // the session.
   const bool follows = isFollowed(now, count);
   const double weight =
-      follows && Followed > 0 ? 1 - sessionShare() / Followed : 1;
+      follows && FollowedShare > 0 ? 1 - sessionShare() / FollowedShare : 1;
   count.Value = decayed(now, count) + weight;
   count.At = now;
 }
 
 double PopularityTable::valueOf(TimePoint now, const AdapterKey &key) const {
   const auto it = Counts.find(key);
-  return it == Counts.end() ? 0 : worth(now, it->second);
+  return it == Counts.end() ? 0 : expectedRequests(now, it->second);
 }
 
-void PopularityTable::forgetHalf(TimePoint now) {
+void PopularityTable::removeLessPopularHalf(TimePoint now) {
   std::vector<double> values;
   values.reserve(Counts.size());
   for (const auto &[key, count] : Counts)
-    values.push_back(worth(now, count));
+    values.push_back(expectedRequests(now, count));
   const auto middle =
       values.begin() + static_cast<std::ptrdiff_t>(values.size() / 2);
   std::ranges::nth_element(values, middle);
-  std::erase_if(
-      Counts, [&](const auto &it) { return worth(now, it.second) <= *middle; });
+  std::erase_if(Counts, [&](const auto &it) {
+    return expectedRequests(now, it.second) <= *middle;
+  });
 }
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/Popularity.h
+++ b/packages/serving/pimentofront/src/Serving/Popularity.h
@@ -50,20 +50,20 @@
     TimePoint At;
   };
   double decayed(TimePoint now, const Count &count) const;
-  double worth(TimePoint now, const Count &count) const;
+  double expectedRequests(TimePoint now, const Count &count) const;
   /// \returns whether a request at \p now comes within the session horizon
   /// after the one before.
   bool isFollowed(TimePoint now, const Count &before) const;
-  void learn(TimePoint now, const Count &before);
-  void forgetHalf(TimePoint now);
+  void learnSessions(TimePoint now, const Count &before);
+  void removeLessPopularHalf(TimePoint now);
 
   PopularityOptions Options;
   std::unordered_map<AdapterKey, Count> Counts;
   /// Smoothed fraction of the requests that came within the session horizon
   /// after one of the same adapter, and the fraction expected if requests were
   /// independent.
-  double Followed = 0;
-  double ExpectedFollowed = 0;
+  double FollowedShare = 0;
+  double ExpectedFollowedShare = 0;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
@@ -4,13 +4,13 @@
 namespace {
 
 /// No server is cold for longer; a wrong report must not slow it down for good.
-constexpr Duration LongestCold = std::chrono::minutes(5);
+constexpr Duration MaxColdTime = std::chrono::minutes(5);
 
 } // namespace
 
 bool RequestPacer::apply(TimePoint now, const RateLimit &limit) {
   // Tokens saved up so far accrued at the former rate.
-  fill(now);
+  refill(now);
   const bool wasPaced = paces(now);
   const bool changed = Known.apply(now, limit);
   if (!wasPaced)
@@ -19,10 +19,10 @@
 }
 
 bool RequestPacer::applyCold(TimePoint now, const ColdStart &cold) {
-  const TimePoint until = now + std::min(cold.Left, LongestCold);
+  const TimePoint until = now + std::min(cold.Left, MaxColdTime);
   if (!cold.isCold() || until <= ColdUntil)
     return false;
-  fill(now);
+  refill(now);
   if (!paces(now))
     Level = 0;
   ColdPerSecond = cold.perSecond();
@@ -47,24 +47,24 @@
 }
 
 double RequestPacer::levelAt(TimePoint now) const {
-  const TimePoint coldEnd = std::clamp(ColdUntil, FilledAt, now);
-  double level = Level + coldRate() * toSeconds(coldEnd - FilledAt);
+  const TimePoint coldEnd = std::clamp(ColdUntil, RefilledAt, now);
+  double level = Level + coldRate() * toSeconds(coldEnd - RefilledAt);
   if (isLimited())
     level += limitRate() * toSeconds(now - coldEnd);
   return std::min(level, Burst);
 }
 
-void RequestPacer::fill(TimePoint now) {
-  now = std::max(now, FilledAt);
+void RequestPacer::refill(TimePoint now) {
+  now = std::max(now, RefilledAt);
   Level = levelAt(now);
-  FilledAt = now;
+  RefilledAt = now;
 }
 
 Duration RequestPacer::wait(TimePoint now, std::size_t ahead) const {
   if (!paces(now))
     return Duration::zero();
   const double missing =
-      static_cast<double>(ahead) + 1 - levelAt(std::max(now, FilledAt));
+      static_cast<double>(ahead) + 1 - levelAt(std::max(now, RefilledAt));
   if (missing <= 0)
     return Duration::zero();
   const Duration cold = std::max(ColdUntil - now, Duration::zero());
@@ -84,7 +84,7 @@
   const Duration delay = wait(now, 0);
   if (delay > ahead)
     return std::nullopt;
-  fill(now);
+  refill(now);
   Level -= 1;
   return delay;
 }
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.h
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.h
@@ -64,7 +64,7 @@
   /// \returns the rate that is allowed while the server is cold, in requests
   /// per second.
   double coldRate() const;
-  void fill(TimePoint now);
+  void refill(TimePoint now);
   double levelAt(TimePoint now) const;
 
   double Burst;
@@ -73,7 +73,7 @@
   TimePoint ColdUntil;
   /// Tokens in the bucket; negative while requests are reserved.
   double Level = 0;
-  TimePoint FilledAt;
+  TimePoint RefilledAt;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/SendPermitLedger.cpp
+++ b/packages/serving/pimentofront/src/Serving/SendPermitLedger.cpp
@@ -7,18 +7,18 @@
 
 /// Maximum retry-after given to an entry: the limit may end or rise before a
 /// longer one is over.
-constexpr Duration MostComeBack = std::chrono::seconds(3);
+constexpr Duration MaxRetryAfter = std::chrono::seconds(3);
 /// How long before its use a permit may be granted. An entry that has to ask
 /// again comes late, and part of the limit stays unused. Short, since a limit
 /// that falls does not revoke permits.
-constexpr Duration GivenAhead = std::chrono::milliseconds(200);
+constexpr Duration GrantAhead = std::chrono::milliseconds(200);
 /// A permit expires after the time between two requests, within these bounds: a
 /// reply takes some round trips, and an entry without work should not keep a
 /// permit.
-constexpr Duration LeastLifetime = std::chrono::milliseconds(100);
-constexpr Duration MostLifetime = std::chrono::seconds(1);
+constexpr Duration MinLifetime = std::chrono::milliseconds(100);
+constexpr Duration MaxLifetime = std::chrono::seconds(1);
 /// A server is forgotten when no entry has asked for it for this time.
-constexpr Duration KeptUnused = std::chrono::seconds(30);
+constexpr Duration UnusedServerTimeout = std::chrono::seconds(30);
 
 } // namespace
 
@@ -29,12 +29,13 @@
   Servers.clear();
 }
 
-Duration SendPermitLedger::comeBack(TimePoint now, PacedServer &server) const {
-  const auto before = static_cast<std::size_t>(server.Promised);
+Duration SendPermitLedger::retryAfter(TimePoint now,
+                                      PacedServer &server) const {
+  const auto before = static_cast<std::size_t>(server.ExpectedRetries);
   const Duration wait = server.Pacer.wait(now, before);
-  if (wait < MostComeBack)
-    server.Promised += 1;
-  return std::min(wait, MostComeBack);
+  if (wait < MaxRetryAfter)
+    server.ExpectedRetries += 1;
+  return std::min(wait, MaxRetryAfter);
 }
 
 SendPermitReply SendPermitLedger::onQuery(TimePoint now,
@@ -46,26 +47,27 @@
   SendPermitReply reply{.Nonce = query.Nonce};
   if (server.Pacer.paces(now)) {
     const Duration interval = server.Pacer.interval(now);
-    reply.Lifetime = std::clamp(interval, LeastLifetime, MostLifetime);
+    reply.Lifetime = std::clamp(interval, MinLifetime, MaxLifetime);
     // Entries whose retry-after has passed have asked again or never will.
-    const double due = toSeconds(now - server.AskedAt) / toSeconds(interval);
-    server.Promised = std::max(server.Promised - due, 0.0);
+    const double due =
+        toSeconds(now - server.LastQueryAt) / toSeconds(interval);
+    server.ExpectedRetries = std::max(server.ExpectedRetries - due, 0.0);
   }
-  server.AskedAt = now;
-  const auto delay = server.Pacer.reserve(now, GivenAhead);
+  server.LastQueryAt = now;
+  const auto delay = server.Pacer.reserve(now, GrantAhead);
   reply.Granted = delay.has_value();
   reply.Delay = delay.value_or(Duration::zero());
   if (!reply.Granted)
-    reply.ComeBack = comeBack(now, server);
+    reply.ComeBack = retryAfter(now, server);
   return reply;
 }
 
 void SendPermitLedger::forgetUnused(TimePoint now) {
   if (now < NextSweep)
     return;
-  NextSweep = now + KeptUnused;
+  NextSweep = now + UnusedServerTimeout;
   std::erase_if(Servers, [&](const auto &it) {
-    return now >= it.second.AskedAt + KeptUnused;
+    return now >= it.second.LastQueryAt + UnusedServerTimeout;
   });
 }
 
--- a/packages/serving/pimentofront/src/Serving/SendPermitLedger.h
+++ b/packages/serving/pimentofront/src/Serving/SendPermitLedger.h
@@ -31,10 +31,10 @@
     RequestPacer Pacer{/*burst=*/1};
     /// Number of entries that were given a retry-after and may still ask again
     /// then.
-    double Promised = 0;
-    TimePoint AskedAt;
+    double ExpectedRetries = 0;
+    TimePoint LastQueryAt;
   };
-  Duration comeBack(TimePoint now, PacedServer &server) const;
+  Duration retryAfter(TimePoint now, PacedServer &server) const;
   void forgetUnused(TimePoint now);
 
   std::uint64_t Term = 0;
--- a/packages/serving/pimentofront/src/Serving/SharedLoads.cpp
+++ b/packages/serving/pimentofront/src/Serving/SharedLoads.cpp
@@ -5,17 +5,17 @@
 namespace pimentofront {
 
 SharedLoads::SharedLoads(const SharedLoadsOptions &options)
-    : Options(options), Alone(options.Alone),
-      Scheduled(Alone, options.Silence) {}
+    : Options(options), Adaptive(options.Adaptive),
+      Scheduled(Adaptive, options.SchedulerTimeout) {}
 
 std::optional<AdapterKey>
 SharedLoads::nextCopy(const std::vector<Demand> &copies) {
-  if (Copies.size() >= Options.MostCopies)
+  if (CopyLoads.size() >= Options.MaxCopyLoads)
     return std::nullopt;
-  const Demand *it = worthiestDemand(copies);
+  const Demand *it = highestUtilityDemand(copies);
   if (!it)
     return std::nullopt;
-  Copies.insert(it->Key);
+  CopyLoads.insert(it->Key);
   return it->Key;
 }
 
@@ -27,28 +27,28 @@
   for (const Demand &it : demands) {
     if (!board.LoadTimes.hasCopy(it.Key))
       others.push_back(it);
-    else if (!Copies.contains(it.Key))
+    else if (!CopyLoads.contains(it.Key))
       copies.push_back(it);
   }
   if (const auto copy = nextCopy(copies))
     return copy;
-  if (!isCrowded(now)) {
+  if (!isCongested(now)) {
     // Withdraws earlier demands and returns their tickets.
     Scheduled.next(now, board, {});
-    return Alone.next(now, board, others);
+    return Adaptive.next(now, board, others);
   }
   const std::optional<AdapterKey> ticket = Scheduled.next(now, board, others);
   // The loads of other agents go first: if all began now, all would be slow.
   if (!ticket && !others.empty())
-    CrowdedUntil =
-        std::min(std::max(CrowdedUntil, now + Options.CrowdedWhileWaiting),
-                 CrowdedLimit);
+    CongestedUntil =
+        std::min(std::max(CongestedUntil, now + Options.CongestedWhileWaiting),
+                 MaxCongestedUntil);
   return ticket;
 }
 
 void SharedLoads::onEngineReady(TimePoint now) {
-  CrowdedUntil = now + Options.CrowdedFor;
-  CrowdedLimit = now + Options.CrowdedAtMost;
+  CongestedUntil = now + Options.CongestedAfterStart;
+  MaxCongestedUntil = now + Options.MaxCongested;
 }
 
 void SharedLoads::onTicket(TimePoint now, AgentBoard &board,
@@ -63,7 +63,7 @@
 
 void SharedLoads::onLoadEnded(TimePoint now, AgentBoard &board,
                               const AdapterKey &key, Duration took) {
-  if (Copies.erase(key) > 0)
+  if (CopyLoads.erase(key) > 0)
     return;
   Scheduled.onLoadEnded(now, board, key, took);
 }
--- a/packages/serving/pimentofront/src/Serving/SharedLoads.h
+++ b/packages/serving/pimentofront/src/Serving/SharedLoads.h
@@ -8,24 +8,24 @@
 /// \class SharedLoadsOptions
 /// \ingroup Serving
 struct SharedLoadsOptions {
-  AdaptiveLoadsOptions Alone;
+  AdaptiveLoadsOptions Adaptive;
   /// How long the store counts as congested after an engine has started. After
   /// a loss of power, loading what all engines lack takes about four seconds.
-  Duration CrowdedFor = std::chrono::seconds(5);
+  Duration CongestedAfterStart = std::chrono::seconds(5);
   /// How long the store counts as congested after a load had to wait for its
   /// ticket.
-  Duration CrowdedWhileWaiting = std::chrono::seconds(1);
+  Duration CongestedWhileWaiting = std::chrono::seconds(1);
   /// The store counts as congested for at most this long after the engine has
   /// started. Where demand exceeds the store's capacity for good, adapters for
   /// which few requests wait would otherwise never be loaded.
-  Duration CrowdedAtMost = std::chrono::seconds(8);
+  Duration MaxCongested = std::chrono::seconds(8);
   /// A scheduler that has not answered for this time is unavailable. That is
   /// hundreds of round trips within a region, and less than the time of one
   /// load.
-  Duration Silence = std::chrono::milliseconds(150);
+  Duration SchedulerTimeout = std::chrono::milliseconds(150);
   /// Maximum number of concurrent loads of adapters that the engine has a copy
   /// of; these don't use the store.
-  std::size_t MostCopies = 4;
+  std::size_t MaxCopyLoads = 4;
 };
 
 /// \class SharedLoads
@@ -59,7 +59,7 @@
                 const LoadQueueStatus &status) override;
   void onLoadEnded(TimePoint now, AgentBoard &board, const AdapterKey &key,
                    Duration took) override;
-  bool isCrowded(TimePoint now) const { return now < CrowdedUntil; }
+  bool isCongested(TimePoint now) const { return now < CongestedUntil; }
 
 private:
   /// \returns which of \p copies, adapters that the engine has a copy of, may
@@ -67,13 +67,13 @@
   std::optional<AdapterKey> nextCopy(const std::vector<Demand> &copies);
 
   SharedLoadsOptions Options;
-  AdaptiveLoads Alone;
+  AdaptiveLoads Adaptive;
   ScheduledLoads Scheduled;
-  TimePoint CrowdedUntil;
+  TimePoint CongestedUntil;
   /// Latest time until which the store counts as congested.
-  TimePoint CrowdedLimit;
+  TimePoint MaxCongestedUntil;
   /// Adapters that are being loaded from a copy that the engine has.
-  std::set<AdapterKey> Copies;
+  std::set<AdapterKey> CopyLoads;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/StoreSpeed.cpp
+++ b/packages/serving/pimentofront/src/Serving/StoreSpeed.cpp
@@ -2,19 +2,19 @@
 
 namespace pimentofront {
 
-std::optional<double> StoreSpeed::note(Duration took) {
+std::optional<double> StoreSpeed::record(Duration took) {
   if (took <= Duration::zero())
     return std::nullopt;
   const double seconds = toSeconds(took);
-  const double quickest = toSeconds(Quickest);
-  if (Quickest > Duration::zero() && seconds < Options.CopyShare * quickest)
+  const double fastest = toSeconds(Fastest);
+  if (Fastest > Duration::zero() && seconds < Options.CopyShare * fastest)
     return std::nullopt;
-  if (Quickest == Duration::zero() || seconds < quickest) {
-    Quickest = took;
+  if (Fastest == Duration::zero() || seconds < fastest) {
+    Fastest = took;
     return 1;
   }
-  Quickest = fromSeconds(quickest * (1 + Options.Forget));
-  return seconds / quickest;
+  Fastest = fromSeconds(fastest * (1 + Options.Aging));
+  return seconds / fastest;
 }
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/StoreSpeed.h
+++ b/packages/serving/pimentofront/src/Serving/StoreSpeed.h
@@ -15,7 +15,7 @@
   double CopyShare = 0.5;
   /// Relative increase of the fastest load time after each load, so that a
   /// store that has become slower for good is adapted to.
-  double Forget = 0.002;
+  double Aging = 0.002;
 };
 
 /// \class StoreSpeed
@@ -32,12 +32,12 @@
   /// \returns its slowdown relative to the fastest one, at least 1; nothing for
   /// a load that says nothing about the store because it was aborted or came
   /// from a copy.
-  std::optional<double> note(Duration took);
+  std::optional<double> record(Duration took);
 
 private:
   StoreSpeedOptions Options;
   /// Fastest load from the store; zero before the first.
-  Duration Quickest = Duration::zero();
+  Duration Fastest = Duration::zero();
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.cpp
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.cpp
@@ -4,31 +4,32 @@
 
 void UnansweredOrders::note(TimePoint now, const HostName &server,
                             std::uint64_t count) {
-  std::erase_if(Given, [&](const auto &it) {
+  std::erase_if(SentAt, [&](const auto &it) {
     return now >= it.second + Options.Lifetime;
   });
-  Given[{server, count}] = now;
+  SentAt[{server, count}] = now;
 }
 
-bool UnansweredOrders::isPending(TimePoint now, const Place &place) const {
-  const auto it = Given.find(place);
-  return it != Given.end() && now < it->second + Options.Lifetime;
+bool UnansweredOrders::isPending(TimePoint now,
+                                 const OrderPosition &position) const {
+  const auto it = SentAt.find(position);
+  return it != SentAt.end() && now < it->second + Options.Lifetime;
 }
 
 bool UnansweredOrders::mayReach(TimePoint now, const HostName &server,
                                 std::uint64_t count, std::size_t held,
                                 std::size_t slots) const {
   std::uint64_t between = 0;
-  auto it = Given.lower_bound({server, count});
-  for (; it != Given.end() && it->first.Server == server; ++it) {
-    Place place = it->first;
-    if (!isPending(now, place))
+  auto it = SentAt.lower_bound({server, count});
+  for (; it != SentAt.end() && it->first.Server == server; ++it) {
+    OrderPosition position = it->first;
+    if (!isPending(now, position))
       continue;
     // Each count in between is used up by an order that evicts an adapter, or
     // by one of the unanswered orders, which adds one.
-    const std::uint64_t steps = place.Count - count;
+    const std::uint64_t steps = position.Count - count;
     std::uint64_t run = 0;
-    for (; isPending(now, place); ++place.Count)
+    for (; isPending(now, position); ++position.Count)
       ++run;
     if (held + 2 * between + run > slots + steps)
       return false;
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
@@ -49,16 +49,17 @@
 
 private:
   /// The server and count at which an order can be carried out.
-  struct Place {
+  struct OrderPosition {
     HostName Server;
     std::uint64_t Count = 0;
-    friend auto operator<=>(const Place &, const Place &) = default;
+    friend auto operator<=>(const OrderPosition &,
+                            const OrderPosition &) = default;
   };
-  bool isPending(TimePoint now, const Place &place) const;
+  bool isPending(TimePoint now, const OrderPosition &position) const;
 
   UnansweredOrdersOptions Options;
   /// When the last order for each of them was sent.
-  std::map<Place, TimePoint> Given;
+  std::map<OrderPosition, TimePoint> SentAt;
 };
 
 } // namespace pimentofront
--- a/packages/wire/pimentofront/src/Wire/RateLimit.h
+++ b/packages/wire/pimentofront/src/Wire/RateLimit.h
@@ -18,9 +18,9 @@
 /// \returns \p perSecond in the unit in which rates are sent.
 inline std::uint64_t toPerThousandSeconds(double perSecond) {
   // A higher rate is equivalent to no limit.
-  constexpr double MostPerSecond = 1e9;
+  constexpr double MaxPerSecond = 1e9;
   return static_cast<std::uint64_t>(
-      std::llround(std::min(perSecond, MostPerSecond) * detail::RateSeconds));
+      std::llround(std::min(perSecond, MaxPerSecond) * detail::RateSeconds));
 }
 
 /// \class RateLimit
