--- a/packages/base/pimentofront/src/Base/Finding.cpp
+++ b/packages/base/pimentofront/src/Base/Finding.cpp
@@ -2,8 +2,8 @@
 
 namespace pimentofront {
 
-void Findings::add(std::string_view place, std::string_view message) {
-  Items.push_back({std::string(place), std::string(message)});
+void Findings::add(std::string_view location, std::string_view message) {
+  Items.push_back({std::string(location), std::string(message)});
 }
 
 std::string Findings::toText() const {
--- a/packages/base/pimentofront/src/Base/Finding.h
+++ b/packages/base/pimentofront/src/Base/Finding.h
@@ -25,10 +25,10 @@
 /// \brief Collects all errors in an input, so that they are reported together.
 class Findings {
 public:
-  void add(std::string_view place, std::string_view message);
+  void add(std::string_view location, std::string_view message);
   bool empty() const { return Items.empty(); }
   const std::vector<Finding> &items() const { return Items; }
-  /// \returns one line for each finding, "place: message".
+  /// \returns one line for each finding, "location: message".
   std::string toText() const;
 
 private:
