--- a/packages/serving/pimentofront/src/Serving/LoadController.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadController.cpp
@@ -11,8 +11,8 @@
       continue;
     // A new version goes into the slot of the previous one, once that one
     // serves no request.
-    const Slot *former = Board.Slots.otherVersion(key);
-    if (former && !mayEvict(*former, Board.Waiting))
+    const Slot *previous = Board.Slots.otherVersion(key);
+    if (previous && !mayEvict(*previous, Board.Waiting))
       continue;
     Demand demand{.Key = key, .Slack = Duration::max()};
     for (const WaitingAttempt &it : queue)
@@ -74,8 +74,8 @@
 
 void LoadController::startLoad(const AdapterKey &key,
                                std::optional<AdapterKey> victim) {
-  if (const Slot *former = Board.Slots.otherVersion(key))
-    victim = former->Key;
+  if (const Slot *previous = Board.Slots.otherVersion(key))
+    victim = previous->Key;
   Board.Slots.beginLoad(key, victim);
   const std::string source = Board.Waiting.at(key).front().Request.Source;
   Board.Commands.push_back(StartLoad{key, source, victim});
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.h
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.h
@@ -33,8 +33,8 @@
   /// in progress. Load times vary by about a tenth at full speed.
   double SlowFactor = 1.2;
   /// After a slow load the limit is multiplied by this value over the slowdown,
-  /// so that it stays a tenth above what the store served at full speed; never
-  /// by less than one half.
+  /// which leaves it a tenth above what the store served at full speed; the
+  /// factor is at least one half.
   double DecreaseHeadroom = 1.1;
   /// Expected time of a load until some have been measured.
   Duration LoadTime = std::chrono::milliseconds(250);
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
@@ -41,9 +41,10 @@
   /// An order to load, sent to \p server when it had accepted \p count orders,
   /// was not answered.
   void note(TimePoint now, const HostName &server, std::uint64_t count);
-  /// \returns whether \p server may have accepted \p count orders and hold
-  /// \p held adapters: no unanswered order can then exceed its \p slots,
-  /// provided that this function is called before each later order, too.
+  /// \returns whether it is safe that \p server has accepted \p count orders
+  /// and holds \p held adapters: then no unanswered order can exceed its
+  /// \p slots, provided that this function is called before each later order,
+  /// too.
   bool mayReach(TimePoint now, const HostName &server, std::uint64_t count,
                 std::size_t held, std::size_t slots) const;
 
--- a/test/LoadGateTest.cpp
+++ b/test/LoadGateTest.cpp
@@ -132,7 +132,7 @@
 /// An agent whose engine has just started; the test acts as the scheduler.
 struct SharedUnderTest : GateWithBoard<SharedLoads> {
   SharedUnderTest() { Gate.onEngineReady(Now); }
-  int asked() {
+  int demandsSent() {
     int n = 0;
     for (const AgentCommand &it : std::exchange(Board.Commands, {})) {
       const auto *message = std::get_if<SendToScheduler>(&it);
@@ -147,7 +147,7 @@
 TEST_CASE("an engine that has just started loads in the scheduler's order") {
   SharedUnderTest it;
   CHECK(it.begin(Now) == 0);
-  CHECK(it.asked() == 3);
+  CHECK(it.demandsSent() == 3);
   it.Gate.onTicket(Now + 5ms, it.Board, {1, key("a")});
   CHECK(it.Gate.next(Now + 5ms, it.Board, demands()) == key("a"));
   CHECK(it.begin(Now + 10ms) == 0);
@@ -167,11 +167,11 @@
   SharedUnderTest it;
   const TimePoint later = Now + 6s;
   CHECK(it.begin(later) == 4);
-  CHECK(it.asked() == 0);
+  CHECK(it.demandsSent() == 0);
   for (const Duration took : {250ms, 250ms, 250ms, 400ms})
     it.Gate.onLoadEnded(later, it.Board, key("a"), took);
   CHECK(it.begin(later) >= 1);
-  CHECK(it.asked() == 0);
+  CHECK(it.demandsSent() == 0);
 }
 
 TEST_CASE(
--- a/test/LoadSchedulerTest.cpp
+++ b/test/LoadSchedulerTest.cpp
@@ -43,9 +43,10 @@
   LoadScheduler scheduler({.LoadsPerSecond = 4});
   Duration before = -1s;
   for (const char *it : {"a", "b", "c", "d"}) {
-    const Duration told = scheduler.onDemand(Now, demand("w", it, 1)).Backlog;
-    CHECK(told > before);
-    before = told;
+    const Duration reported =
+        scheduler.onDemand(Now, demand("w", it, 1)).Backlog;
+    CHECK(reported > before);
+    before = reported;
   }
   CHECK(before == 750ms);
 }
@@ -106,13 +107,14 @@
 struct StoreUnderTest {
   explicit StoreUnderTest(std::size_t capacity) : Capacity(capacity) {}
   Duration next() const {
-    const double slow = std::max(1.0, static_cast<double>(OnTheWay.size() + 1) /
-                                          static_cast<double>(Capacity));
+    const double slow =
+        std::max(1.0, static_cast<double>(InProgress.size() + 1) /
+                          static_cast<double>(Capacity));
     return fromSeconds(0.25 * slow);
   }
   std::size_t Capacity;
   /// By the time at which each load ends: its ticket and duration.
-  std::multimap<TimePoint, std::pair<IssuedTicket, Duration>> OnTheWay;
+  std::multimap<TimePoint, std::pair<IssuedTicket, Duration>> InProgress;
 };
 
 /// Lets 117 agents demand seven adapters each at once, as after a loss of
@@ -150,15 +152,16 @@
       for (const LoadDemand &it : demands)
         if (!begun.contains(it.Key))
           scheduler.onDemand(now, it);
-    while (!store.OnTheWay.empty() && store.OnTheWay.begin()->first <= now) {
-      const auto [ticket, took] = store.OnTheWay.begin()->second;
-      store.OnTheWay.erase(store.OnTheWay.begin());
+    while (!store.InProgress.empty() &&
+           store.InProgress.begin()->first <= now) {
+      const auto [ticket, took] = store.InProgress.begin()->second;
+      store.InProgress.erase(store.InProgress.begin());
       scheduler.onDone(now, {ticket.Host, ticket.Ticket.Ticket, true, took});
       arrivals.push_back({now - Now, weights.at(ticket.Ticket.Key), took});
     }
     for (const IssuedTicket &it : scheduler.run(now)) {
       const Duration took = store.next();
-      store.OnTheWay.emplace(now + took, std::pair(it, took));
+      store.InProgress.emplace(now + took, std::pair(it, took));
       begun.insert(it.Ticket.Key);
     }
   }
