--- a/packages/serving/pimentofront/src/Serving/LoadController.h
+++ b/packages/serving/pimentofront/src/Serving/LoadController.h
@@ -8,8 +8,9 @@
 
 /// \class LoadController
 /// \ingroup Serving
-/// \brief Has adapters loaded for which requests wait, in a slot that is empty
-/// or whose adapter is worth least. One load serves all that wait for it.
+/// \brief Loads the adapters that requests wait for, into an empty slot or in
+/// place of the adapter with the lowest utility. One load serves all requests
+/// that wait for its adapter.
 class LoadController {
 public:
   LoadController(AgentBoard &board, LoadGate &gate,
@@ -21,18 +22,18 @@
                    Duration took);
 
 private:
-  struct Room {
+  struct SlotChoice {
     bool Found = false;
     std::optional<AdapterKey> Victim;
   };
   std::vector<Demand> demands(TimePoint now) const;
   /// Adds a waiting attempt to the demand for its adapter.
-  void count(TimePoint now, const WaitingAttempt &attempt,
-             Demand &demand) const;
-  Room findRoom(TimePoint now) const;
-  void begin(const AdapterKey &key, std::optional<AdapterKey> victim);
-  void setAside(TimePoint now, const AdapterKey &key);
-  void endStalls(TimePoint now, const AdapterKey &key);
+  void addToDemand(TimePoint now, const WaitingAttempt &attempt,
+                   Demand &demand) const;
+  SlotChoice findSlot(TimePoint now) const;
+  void startLoad(const AdapterKey &key, std::optional<AdapterKey> victim);
+  void onLoadFailed(TimePoint now, const AdapterKey &key);
+  void recordLoadStalls(TimePoint now, const AdapterKey &key);
 
   AgentBoard &Board;
   LoadGate &Gate;
