--- a/packages/state/pimentofront/State.h
+++ b/packages/state/pimentofront/State.h
@@ -2,9 +2,10 @@
 ///
 /// \file
 /// \defgroup State State
-/// What the replicas agree on: the configuration and the ledger of requests
-/// that may not be repeated. Beside it the leader's table of live members, and
-/// the copy of the configuration that each process keeps. No I/O in here.
+/// The replicated state machine: the configuration, the ledger of requests that
+/// may not be executed twice, and the quarantine ledger. Also the leader's
+/// table of live members and each process's copy of the configuration. Nothing
+/// in this module performs I/O.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_STATE_H
--- a/packages/state/pimentofront/src/State/AdapterStore.cpp
+++ b/packages/state/pimentofront/src/State/AdapterStore.cpp
@@ -7,7 +7,7 @@
 namespace pimentofront {
 namespace {
 
-/// Records begin at multiples of this, so that a place of 32 bits reaches
+/// Records begin at multiples of this, so that a handle of 32 bits addresses
 /// 32 GiB.
 constexpr std::size_t Alignment = 8;
 constexpr std::size_t SmallestIndex = 64;
@@ -45,7 +45,7 @@
   return result;
 }
 
-/// \returns where \p name stands, or the empty place where it belongs.
+/// \returns the index slot that holds \p name, or the empty slot to insert it.
 std::size_t AdapterStore::findIndex(std::string_view name) const {
   const std::size_t mask = Index.size() - 1;
   std::size_t i = stableHash(name) & mask;
--- a/packages/state/pimentofront/src/State/AdapterStore.h
+++ b/packages/state/pimentofront/src/State/AdapterStore.h
@@ -12,13 +12,15 @@
 
 /// \class AdapterStore
 /// \ingroup State
-/// \brief Adapter records by name, packed: every process holds all of them, and
-/// 100,000 have to fit beside everything else into 32 MB.
+/// \brief Adapter records by name in compact form: every process holds all of
+/// them, and 100,000 records have to fit into 32 MB together with the rest of
+/// the process.
 ///
-/// Records stand encoded in blocks; an index of four bytes a place points at
-/// them. A changed record is written anew, and when half of the bytes are
-/// garbage, all are packed again. Finding one decodes it, which costs some
-/// microseconds: use a map where there are few records and many lookups.
+/// Records are stored encoded in blocks; a hash index of four bytes per slot
+/// refers to them. A changed record is appended again, and the store is
+/// compacted when more than half of its bytes are garbage. A lookup decodes the
+/// record, which takes some microseconds: use a map where there are few records
+/// and many lookups.
 class AdapterStore {
 public:
   void put(const AdapterRecord &record);
@@ -26,15 +28,16 @@
   std::size_t size() const { return Count; }
   /// \returns bytes of the blocks and the index.
   std::size_t memoryBytes() const;
-  /// Position of a record plus one; 0 is none. Good until the next put().
+  /// Position of a record, in units of 8 bytes, plus one; 0 means no record.
+  /// Valid until the next put().
   using Place = std::uint32_t;
   /// \class Changed
-  /// \brief Where a record stands, and when it changed last.
+  /// \brief Handle of a record and the revision of its last change.
   struct Changed {
     Revision At = 0;
     Place Where = 0;
   };
-  /// \returns the records that were changed after \p since, in order of change,
+  /// \returns the records that changed after \p since, in order of change,
   /// without decoding them.
   std::vector<Changed> changedSince(Revision since) const;
   AdapterRecord recordAt(Place place) const { return *decodeAt(place); }
--- a/packages/state/pimentofront/src/State/ClaimLedger.cpp
+++ b/packages/state/pimentofront/src/State/ClaimLedger.cpp
@@ -65,7 +65,7 @@
   if (known.Ended)
     return {.Result = CommandResult::AlreadyUnknown};
   if (known.Holder == request.Holder)
-    return {}; // The same attempt asks again: its answer was lost.
+    return {}; // The same attempt asks again because the reply was lost.
   const bool abandoned =
       known.ClaimedAtMilliseconds + Options.AbandonedMilliseconds <
       wallMilliseconds;
@@ -78,7 +78,8 @@
   const ClaimKey key{ending.Caller, ending.Request};
   const auto it = Claims.find(key);
   if (it == Claims.end()) {
-    // The ending may overtake the claim: it must not be granted afterwards.
+    // The withdrawal may overtake its claim, which must not be granted when it
+    // arrives afterwards.
     if (ending.Ending == ClaimEnding::NotRun)
       place(key, {.Caller = ending.Caller,
                   .Request = ending.Request,
--- a/packages/state/pimentofront/src/State/ClaimLedger.h
+++ b/packages/state/pimentofront/src/State/ClaimLedger.h
@@ -10,23 +10,26 @@
 
 /// \class ClaimLedgerOptions
 /// \ingroup State
-/// \brief Part of the replicated state's meaning: the same on all replicas.
+/// \brief Options of the claim ledger. They determine the outcomes of
+/// replicated commands, so they must be the same on all replicas.
 struct ClaimLedgerOptions {
-  /// A request may be sent again for so long after it was first issued.
+  /// How long after it was first issued a request may be sent again.
   std::uint64_t RetentionMilliseconds = 3'600'000;
-  /// How far callers' clocks may be from ours.
+  /// Maximum difference between a caller's clock and the replicas' clock.
   std::uint64_t ClockSkewMilliseconds = 300'000;
-  /// A claim that hasn't ended after this counts as unknown: its holder has
-  /// died, or will never tell.
+  /// A claim whose end isn't recorded within this time counts as unknown: its
+  /// holder has crashed or won't report any more.
   std::uint64_t AbandonedMilliseconds = 120'000;
 };
 
 /// \class ClaimLedger
 /// \ingroup State
-/// \brief Who may run each request that may not be repeated, and how it ended.
+/// \brief Records, for each request that may not be executed twice, which
+/// attempt may run it and how that attempt ended.
 ///
-/// Invariant: for one caller and request id, no two attempts are granted,
-/// unless the first is known not to have run. Time is that of the log entries.
+/// Invariant: for one caller and request id, a second attempt is granted only
+/// if the first is known not to have run. All times are the wall-clock times of
+/// the log entries, so that every replica decides alike.
 class ClaimLedger {
 public:
   explicit ClaimLedger(const ClaimLedgerOptions &options = {})
@@ -38,12 +41,12 @@
                      const RecordEnding &ending);
   std::size_t size() const { return Claims.size(); }
 
-  /// Calls \p visit with each claim.
+  /// Calls \p visit for each claim.
   template <class Visitor> void forEach(Visitor &&visit) const {
     for (const auto &[key, it] : Claims)
       visit(it);
   }
-  /// Puts in a claim of a snapshot.
+  /// Inserts a claim from a snapshot.
   void restore(const ClaimRecord &record);
 
 private:
@@ -60,7 +63,8 @@
 
   ClaimLedgerOptions Options;
   std::map<ClaimKey, ClaimRecord> Claims;
-  /// Claims by when they were issued: the oldest are forgotten first.
+  /// Claims ordered by the time at which their request was issued, for removal
+  /// of expired ones.
   std::multimap<std::uint64_t, ClaimKey> ByIssue;
 };
 
--- a/packages/state/pimentofront/src/State/Configuration.cpp
+++ b/packages/state/pimentofront/src/State/Configuration.cpp
@@ -43,7 +43,8 @@
 void Configuration::forEachChanged(
     Revision since,
     const std::function<void(const ConfigurationRecord &)> &visit) const {
-  // All but adapters are few; they go between the adapters where they belong.
+  // Records of all kinds but adapters are few: they are collected, sorted and
+  // then merged with the adapters by revision.
   std::vector<ConfigurationRecord> few;
   for (const auto &[name, it] : Kinds)
     if (it.ChangedAt > since)
--- a/packages/state/pimentofront/src/State/Configuration.h
+++ b/packages/state/pimentofront/src/State/Configuration.h
@@ -10,7 +10,8 @@
 
 /// \class Configuration
 /// \ingroup State
-/// \brief All records at one revision. The revision only grows.
+/// \brief All configuration records at one revision. The revision never
+/// decreases.
 class Configuration {
 public:
   Revision revision() const { return Current; }
@@ -29,12 +30,13 @@
   const std::map<KindName, KindRecord> &kinds() const { return Kinds; }
   std::size_t memoryBytes() const { return Adapters.memoryBytes(); }
 
-  /// Puts one record in, in force at its `ChangedAt`.
+  /// Inserts or replaces one record, which took effect at its `ChangedAt`.
   void put(const ConfigurationRecord &record);
-  /// Moves on to \p revision, if that is forward.
+  /// Sets the revision to \p revision unless that is lower than the current
+  /// one.
   void advance(Revision revision);
-  /// Calls \p visit with each record that changed after \p since, in order of
-  /// change. Holds one decoded record at a time.
+  /// Calls \p visit for each record that changed after \p since, in order of
+  /// change. At most one adapter record is decoded at a time.
   void forEachChanged(
       Revision since,
       const std::function<void(const ConfigurationRecord &)> &visit) const;
@@ -48,7 +50,7 @@
   std::optional<DocumentRecord> Document;
 };
 
-/// \returns the revision at which a record was changed last.
+/// \returns the revision at which \p record was last changed.
 Revision changedAt(const ConfigurationRecord &record);
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/ConfigurationCopy.cpp
+++ b/packages/state/pimentofront/src/State/ConfigurationCopy.cpp
@@ -5,7 +5,8 @@
 namespace pimentofront {
 namespace {
 
-/// Questions remembered; older ones are lost with their answers.
+/// Maximum number of unanswered probes, and of confirmations that wait for
+/// their revision. Replies to older probes are ignored.
 constexpr std::size_t ProbesKept = 64;
 
 } // namespace
@@ -47,8 +48,8 @@
     drains = drains || std::holds_alternative<DrainRecord>(it) ||
              std::holds_alternative<ZoneRecord>(it);
   }
-  // A part alone is no state that ever was: a record that changed twice comes
-  // only with its last change.
+  // A partial update alone doesn't give the state of any revision, since a
+  // record that changed twice is sent with its last change only.
   if (!update.Partial)
     Records.advance(update.UpTo);
   useConfirmations();
--- a/packages/state/pimentofront/src/State/ConfigurationCopy.h
+++ b/packages/state/pimentofront/src/State/ConfigurationCopy.h
@@ -10,36 +10,40 @@
 /// \class ConfigurationCopyOptions
 /// \ingroup State
 struct ConfigurationCopyOptions {
-  /// A confirmation counts for so long after its question was sent. Bounds the
-  /// time in which an isolated process may still use what was superseded.
+  /// How long a confirmation is valid, counted from when its probe was sent.
+  /// Bounds the time during which an isolated process may use a superseded
+  /// configuration.
   Duration Lease = std::chrono::seconds(4);
 };
 
 /// \class ConfigurationCopy
 /// \ingroup State
-/// \brief The configuration that a process has in force, and whether it may
-/// rely on it.
+/// \brief A process's copy of the configuration, and a lease that says whether
+/// the copy may be relied on.
 ///
-/// The process asks its replica again and again; the answer, confirmed with
-/// the leader and its quorum, says which revision was the newest when the
-/// question arrived. Only a process that has this revision, and asked less
-/// than a lease ago by its own clock, serves. A process that was frozen or cut
-/// off finds its lease run out, and stops serving before it acts.
+/// The process probes its replica periodically. The reply, confirmed by the
+/// leader with its quorum, contains the newest revision at the time when the
+/// probe arrived. A process serves only if it has this revision and sent the
+/// probe less than a lease ago by its own clock. A process that was paused or
+/// isolated finds its lease expired and stops serving before it acts on the
+/// outdated copy.
 class ConfigurationCopy : public ConfigurationView {
 public:
   explicit ConfigurationCopy(const ConfigurationCopyOptions &options = {})
       : Options(options) {}
 
-  /// \returns the question to send now.
+  /// Records a probe that is sent at \p now.
+  /// \returns the nonce to send with it.
   std::uint64_t beginProbe(TimePoint now);
   void onProbeReply(const ProbeReply &reply);
-  /// Records apply in order; those that would go back are ignored.
-  /// \returns whether hosts or zones were taken out of use, or back.
+  /// Applies records in order. Records that aren't newer than the revision of
+  /// this copy are ignored.
+  /// \returns whether hosts or zones were taken out of use or put back in use.
   bool apply(const ConfigurationUpdate &update);
 
   Revision revision() const { return Records.revision(); }
   const Configuration &records() const { return Records; }
-  /// \returns the time left in which isConfirmed() holds without news.
+  /// \returns how long isConfirmed() stays true without a further confirmation.
   Duration leaseLeft(TimePoint now) const;
 
   std::optional<AdapterRecord>
@@ -60,7 +64,7 @@
     std::uint64_t Nonce = 0;
     TimePoint SentAt;
   };
-  /// A confirmation that waits until its revision has arrived.
+  /// A confirmation of a revision that hasn't arrived yet.
   struct Confirmation {
     Revision At = 0;
     TimePoint AskedAt;
--- a/packages/state/pimentofront/src/State/EvacuationOrders.cpp
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.cpp
@@ -21,7 +21,7 @@
   const ZoneRecord *present = current.findZone(zone);
   if ((present && present->Evacuated) == evacuated)
     return EvacuationVerdict::InForce;
-  // Without a record none was ever accepted.
+  // Without a record no order on this zone was ever accepted.
   if (!present)
     return EvacuationVerdict::New;
   const auto &last = evacuated ? known.EvacuatedAt : known.RestoredAt;
--- a/packages/state/pimentofront/src/State/EvacuationOrders.h
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.h
@@ -5,55 +5,58 @@
 
 namespace pimentofront {
 
-/// What becomes of an order on the evacuation of a zone.
+/// How an order to evacuate or restore a zone is handled.
 enum class EvacuationVerdict : std::uint8_t {
-  /// It is in force already: acknowledged again.
+  /// The zone is in the ordered state already: the order is acknowledged again.
   InForce,
-  /// It may be an earlier order that comes late, after an opposite one: no
-  /// clear
-  /// answer now.
+  /// The order may be a late resend that an opposite order has superseded, or
+  /// another order on the zone is pending. It can't be decided now.
   MaybeLate,
   New,
 };
 
 /// \class EvacuationOrders
 /// \ingroup State
-/// \brief Tells new orders of operators on evacuations from earlier ones that
-/// are sent again and come late. Kept by the leader of the replicas.
+/// \brief Distinguishes new evacuation orders of operators from late resends of
+/// earlier ones. Used by the leader of the replicas.
 ///
-/// For orders without a command id: a name of a zone, and whether it is
-/// evacuated or taken back. An order whose acknowledgement got lost is sent
-/// again for a bounded time, to any replica, while another operator may have
-/// undone it. What tells the two apart is time, by the clock of this process:
-/// from a resend time after an order was taken last, no resend of it can come
-/// any more. Until then one that would undo an opposite order gets no clear
-/// answer; its sender asks again, and a new order is accepted at the end of
-/// that time. What former leaders took counts as taken when this one began,
-/// which only makes the time longer.
+/// It serves orders without a command id, which consist of the name of a zone
+/// and whether to evacuate or restore it. An order whose acknowledgement was
+/// lost is resent for a bounded time, to any replica, and another operator may
+/// have reversed it meanwhile. Resends are recognized by time, on the clock of
+/// this process: once the resend time has passed since an order was last
+/// acknowledged, no resend of it can arrive any more. Until then, the same
+/// order after an opposite one isn't decided; its sender asks again, and an
+/// order that really is new is accepted when the resend time is over. Orders
+/// that former leaders acknowledged count as acknowledged at the start of this
+/// leader's term, which can only make the wait longer.
 ///
-/// One order on a zone is decided at a time. Orders with command ids don't need
-/// it: the state machine knows their first outcome.
+/// One order per zone is decided at a time. Orders with command ids don't need
+/// this class, since the state machine stores their first outcome.
 class EvacuationOrders {
 public:
-  /// \param resentFor the longest time in which an order is sent again.
+  /// \param resentFor maximum time during which an order is resent.
   explicit EvacuationOrders(Duration resentFor) : ResentFor(resentFor) {}
 
-  /// This process leads in \p term.
+  /// This process is the leader in \p term. Repeated calls have no effect.
   void lead(TimePoint now, std::uint64_t term);
-  /// \param current all that was accepted so far.
+  /// Decides how to handle an order to evacuate or, if \p evacuated is false,
+  /// to restore \p zone. \param current the configuration with all orders
+  /// accepted so far.
   EvacuationVerdict judge(TimePoint now, const Configuration &current,
                           const ZoneName &zone, bool evacuated) const;
-  /// A new order is being proposed; it is decided by noteTaken().
+  /// A new order was proposed to the log. Further orders on the zone wait until
+  /// noteTaken() or noteNotProposed().
   void noteProposed(const ZoneName &zone) { Zones[zone].Undecided = true; }
-  /// It couldn't be proposed after all.
+  /// The order couldn't be proposed.
   void noteNotProposed(const ZoneName &zone) { Zones[zone].Undecided = false; }
-  /// An order was applied, or acknowledged again.
+  /// An order was applied, or was in force already and acknowledged again.
   void noteTaken(TimePoint now, const ZoneName &zone, bool evacuated);
 
 private:
   struct Zone {
-    /// When an order to evacuate it, and to take that back, was taken last in
-    /// this term.
+    /// When an order to evacuate the zone, and one to restore it, was last
+    /// acknowledged in this term.
     std::optional<TimePoint> EvacuatedAt;
     std::optional<TimePoint> RestoredAt;
     bool Undecided = false;
--- a/packages/state/pimentofront/src/State/MemberTable.cpp
+++ b/packages/state/pimentofront/src/State/MemberTable.cpp
@@ -64,7 +64,7 @@
 bool MemberTable::isDisplaced(TimePoint now, const MemberRecord &member) {
   auto it = DisplacedMembers.find(member.process());
   if (it == DisplacedMembers.end() && hasLaterNamesake(member)) {
-    // One that doesn't tell its start is another writer under that name.
+    // Without a start time, it comes from another writer under that name.
     if (member.process().StartedAt == 0)
       return true;
     const ServerProcess later = Members.at(member.Host).process();
@@ -110,13 +110,14 @@
 void MemberTable::leave(TimePoint now, const MemberRecord &member) {
   const auto it = Members.find(member.Host);
   const bool known = it != Members.end();
-  // A goodbye that only names the host is one of the process that has the name.
+  // A deregistration without an incarnation is taken for one of the process
+  // that owns the name.
   const bool named = !member.Registered || member.Incarnation != 0;
   const std::uint64_t incarnation =
       named || !known ? member.Incarnation : it->second.Incarnation;
   Goodbyes[member.Host] = {
       .Incarnation = incarnation, .Named = named, .At = now};
-  // One of an earlier process of this host means nothing.
+  // The deregistration of an earlier process of this host changes nothing.
   if (!known || it->second.Incarnation != incarnation)
     return;
   HeardAt.erase(member.Host);
@@ -174,14 +175,15 @@
   };
   std::erase_if(Goodbyes, isForgotten);
   std::erase_if(DisplacedMembers, isForgotten);
-  // Those of processes that are neither in use nor may come back.
+  // Drop the sequences of processes that neither are in the table nor may get
+  // their address or name back.
   std::erase_if(Counts, [&](const auto &it) {
     return !heardOf(it.first) && !DisplacedMembers.contains(it.first);
   });
   const Duration longest = std::max(Options.Lease, Options.ServerLease);
   if (!Complete && now >= TermBegan + longest) {
     Complete = true;
-    ++Version.Sequence; // Tells everybody, without a record.
+    ++Version.Sequence; // Sends `Complete` to all receivers, without a record.
     Changes.clear();
   }
   return gone;
@@ -207,7 +209,7 @@
 
 bool MemberTable::apply(const MemberUpdate &update) {
   if (update.To < Version)
-    return true; // An earlier one that arrives late.
+    return true; // A late update.
   if (!update.Full && update.From != Version)
     return false;
   if (update.Full) {
--- a/packages/state/pimentofront/src/State/MemberTable.h
+++ b/packages/state/pimentofront/src/State/MemberTable.h
@@ -13,67 +13,82 @@
 /// \class MemberTableOptions
 /// \ingroup State
 struct MemberTableOptions {
-  /// A host that isn't heard of for so long is gone.
+  /// A host that hasn't announced itself for this time is removed.
   Duration Lease = std::chrono::seconds(6);
-  /// The same for a backend server that registers itself, which announces
-  /// itself in a time of its own; zero: the same as for hosts.
+  /// The lease of a backend server that registers itself, since it announces
+  /// itself at an interval of its own. Zero: the same lease as for hosts.
   Duration ServerLease = Duration::zero();
-  /// Changes kept for those who missed a few.
+  /// Recent changes stored, to send differences to receivers that missed some.
   std::size_t ChangesKept = 1024;
-  /// How long a goodbye is remembered, against announcements that come late.
+  /// How long a deregistration is stored, to reject late announcements of the
+  /// process.
   Duration GoodbyeKept = std::chrono::seconds(60);
-  /// The same for a goodbye that names no process, only a name: it may have
-  /// been a former one's, and then the one that lives is out of use for so
-  /// long. Announcements come seconds late, not tens of seconds.
+  /// The same for a deregistration that contains only the name, not the
+  /// process. It may come from a former process of that name, in which case the
+  /// running one is out of use for this time. Shorter, since announcements
+  /// arrive seconds late, not tens of seconds.
   Duration NamelessGoodbyeKept = std::chrono::seconds(15);
-  /// A process whose address another one has taken gets it back when it has
-  /// announced itself twice, so far apart, and the other one is silent: late
-  /// announcements come together.
+  /// A displaced process gets its address or name back when it announces itself
+  /// twice, at least this far apart, and the other process doesn't announce
+  /// itself in between. The minimum distance excludes late announcements, which
+  /// arrive close together.
   Duration TakeBackAfter = std::chrono::milliseconds(500);
 };
 
 /// \class MemberTable
 /// \ingroup State
-/// \brief The hosts that have announced themselves to the leader, and the
-/// stream of changes. Soft state: a new leader starts with an empty table, and
-/// calls it complete when it has led for a whole lease.
+/// \brief The hosts and self-registered backend servers that have announced
+/// themselves to the leader, and the stream of changes. Soft state: a new
+/// leader starts with an empty table, and marks it complete once it has led for
+/// the longest lease.
 ///
-/// An address belongs to one process that registers itself, the one that was
-/// heard of first last: a former one that is heard of once more is late. So
-/// does a name: a process that started later, by its own word, takes it over at
-/// once, with nothing of the former one's, and one that started earlier is
-/// late. Either is believed only when it goes on announcing itself while the
-/// other one is silent, as it happens when a host's clock was set back between
-/// two starts, or when the announcements come to a new leader in the wrong
-/// order. Where no start is told, a process that starts again under its name
-/// counts anew and is late until the lease of the former one has run out: an
-/// older word, taken for a newer one, could bring back a server that leaves.
-/// Whoever doesn't tell its start under a name whose process does is another
-/// writer, and changes nothing.
+/// Of the processes that register themselves, only one owns an address: the one
+/// whose first announcement came last. A later announcement of a former owner
+/// is taken for a late one. A name has one owner, too: the process with the
+/// latest reported start time takes it over at once, without any state of the
+/// former owner, and announcements of a process that started earlier are taken
+/// for late ones. In both cases the rejected process is accepted after all if
+/// it goes on announcing itself while the owner is silent. That happens when a
+/// host's clock was set back between two starts, or when a new leader receives
+/// the announcements in the wrong order.
 ///
-/// Also the copy of it that followers and entries keep: apply() takes changes.
+/// Without reported start times, a process that restarts under its name counts
+/// its announcements anew, and they are rejected until the lease of the former
+/// process has expired: if an old announcement were taken for a new one, it
+/// could bring back a server that is leaving. An announcement without a start
+/// time, under a name whose owner reports one, comes from another writer and
+/// changes nothing.
+///
+/// Followers and entries hold copies of the table, which apply() updates.
 class MemberTable {
 public:
   explicit MemberTable(const MemberTableOptions &options = {})
       : Options(options) {}
 
-  /// This process became the leader: all must announce themselves anew.
+  /// This process became the leader. Clears the table: all members have to
+  /// announce themselves anew.
   void beginTerm(TimePoint now, std::uint64_t term);
-  /// \param sequence grows with each announcement of one process, where its
+  /// Records an announcement or, if \p member is gone, a deregistration.
+  /// \param sequence increases with each announcement of one process, where its
   /// announcements may overtake one another; 0 where they can't.
-  /// \returns false for an announcement that came late: a newer one is known,
-  /// or the process has said goodbye. It changes nothing.
+  /// \returns false for a stale announcement, which changes nothing: a newer
+  /// one is known, the process has deregistered, or it has been displaced.
   bool announce(TimePoint now, const MemberRecord &member,
                 std::uint64_t sequence = 0);
-  /// \returns whether the host is known under this incarnation.
+  /// Extends the lease of a host.
+  /// \returns false, without effect, if the host isn't known under this
+  /// incarnation.
   bool renew(TimePoint now, const HostName &host, std::uint64_t incarnation);
-  /// \returns hosts whose lease ran out just now.
+  /// Removes the hosts whose lease has expired.
+  /// \returns the removed hosts.
   std::vector<HostName> expire(TimePoint now);
 
-  /// \returns what a holder of \p known lacks; nothing if it lacks nothing.
+  /// \returns the changes since version \p known, or the whole table if they
+  /// aren't stored any more; nothing if \p known is current.
   std::optional<MemberUpdate> updateSince(const MemberVersion &known) const;
-  /// Takes an update from the leader.
-  /// \returns false when something is missing before it.
+  /// Applies an update from the leader. An update older than this copy has no
+  /// effect.
+  /// \returns false, without effect, if updates before this one are missing.
   bool apply(const MemberUpdate &update);
 
   MemberVersion version() const { return Version; }
@@ -82,36 +97,41 @@
 
 private:
   struct Goodbye {
-    /// Of the process that left; 0 when none was known and none named.
+    /// Of the process that left; 0 if the deregistration had no incarnation and
+    /// the name was unknown.
     std::uint64_t Incarnation = 0;
-    /// The process was named, not only its host.
+    /// Whether the deregistration identified the process, not only its name.
     bool Named = false;
     TimePoint At;
   };
-  /// A process whose address or name another one has taken.
+  /// A process whose address or name another process has taken over.
   struct Displaced {
     ServerProcess By;
     TimePoint At;
-    /// Its first announcement since then.
+    /// Its first announcement since the other process last announced itself.
     std::optional<TimePoint> CalledAt;
   };
   Duration leaseOf(const MemberRecord &member) const;
   void change(const MemberRecord &member);
-  /// A host, or a process of it, says that it leaves.
+  /// Records the deregistration of a host or of a process.
   void leave(TimePoint now, const MemberRecord &member);
-  /// \returns whether the name of \p member belongs to a process that started
-  /// later, by its word.
+  /// \returns whether the name of \p member belongs to a process that reports a
+  /// later start.
   bool hasLaterNamesake(const MemberRecord &member) const;
-  /// \returns whether the process of \p member said goodbye.
+  /// \returns whether the process of \p member has deregistered recently.
   bool hasLeft(TimePoint now, const MemberRecord &member) const;
-  /// \returns whether an announcement counted \p sequence is an old one.
+  /// Updates the latest sequence of \p process.
+  /// \returns whether an announcement with \p sequence is stale.
   bool isOldCount(const ServerProcess &process, std::uint64_t sequence);
-  /// \returns when \p process was heard of last, if it is in use.
+  /// \returns when \p process last announced itself; nothing if it isn't in the
+  /// table.
   std::optional<TimePoint> heardOf(const ServerProcess &process) const;
-  /// \returns whether another process took the address or name of \p member,
-  /// and this announcement doesn't prove that it is the one that lives.
+  /// \returns whether another process has taken over the address or name of
+  /// \p member, and this announcement doesn't prove that \p member is the
+  /// running process of the two.
   bool isDisplaced(TimePoint now, const MemberRecord &member);
-  /// Whoever had the name or the address of \p member before has ended.
+  /// Marks the former owners of the name and the address of \p member as
+  /// displaced, and removes those with another name.
   void displaceOthers(TimePoint now, const MemberRecord &member);
 
   MemberTableOptions Options;
@@ -120,11 +140,11 @@
   TimePoint TermBegan;
   std::map<HostName, MemberRecord> Members;
   std::map<HostName, TimePoint> HeardAt;
-  /// How far each process has counted its announcements.
+  /// The highest sequence that each process has announced.
   std::map<ServerProcess, std::uint64_t> Counts;
   std::map<HostName, Goodbye> Goodbyes;
   std::map<ServerProcess, Displaced> DisplacedMembers;
-  /// The last changes; the newest has the sequence of `Version`.
+  /// The most recent changes; the newest has the sequence of `Version`.
   std::deque<MemberRecord> Changes;
 };
 
--- a/packages/state/pimentofront/src/State/QuarantineLedger.cpp
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.cpp
@@ -5,8 +5,8 @@
 namespace pimentofront {
 namespace {
 
-/// Ends remembered of one request: those that decide, and a few that were under
-/// way then.
+/// Server crashes stored per request: those that decide on the quarantine, and
+/// a few whose reports were under way at that time.
 constexpr std::size_t EndsKept = 8;
 
 const ServerEnd *findEnd(const QuarantineRecord &record,
@@ -44,7 +44,8 @@
   Removals.pop_front();
 }
 
-/// Gives up what was watched longest without a change.
+/// At full capacity, removes the watched request whose last change is the
+/// oldest, or a quarantined one if there is no watched one.
 void QuarantineLedger::makeRoom() {
   if (Records.size() < Options.Capacity)
     return;
@@ -56,7 +57,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Ends of servers
+// Server crashes
 //===----------------------------------------------------------------------===//
 
 CommandOutcome QuarantineLedger::report(const ReportServerEnd &end) {
@@ -65,10 +66,13 @@
   return {.At = Version};
 }
 
-/// A process that had ended when a trial began can't have ended by it: then it
-/// was a later one under that name, which the entry didn't know of yet. Counted
-/// as one, twelve servers ended in place of five where processes keep their
-/// names and are back within some hundred milliseconds.
+/// \returns whether the crash of \p server is already counted in \p record.
+///
+/// A process that had crashed before a trial was granted can't have crashed by
+/// that trial: the report is about a later process of the same name, of which
+/// the entry didn't know yet, so it counts as another crash. Before this rule,
+/// twelve servers crashed in place of five where processes keep their names and
+/// restart within some hundred milliseconds.
 bool QuarantineLedger::isKnownEnd(const QuarantineRecord &record,
                                   const ServerProcess &server, bool tried) {
   const ServerEnd *end = findEnd(record, server);
@@ -91,7 +95,7 @@
     record.Holder = AttemptId();
   if (isNew && record.Ends.size() < EndsKept)
     record.Ends.push_back({server, request.Answering});
-  // Tried again after a quarantine, it has ended one more.
+  // It was released from quarantine for a trial and has crashed another server.
   if (isNew && record.Quarantines > 0 && !record.Quarantined)
     return putInQuarantine(record);
   change(record);
@@ -140,7 +144,8 @@
     putInQuarantine(record);
   if (record.Quarantined)
     return {.Result = CommandResult::Quarantined, .At = Version};
-  // Asked again by the same attempt, whose answer was lost, it is one trial.
+  // When the same attempt asks again because the reply was lost, it is still
+  // one trial.
   const bool isNew = record.Holder != trial.Holder;
   record.Holder = trial.Holder;
   record.HeldFor = trial.HeldFor;
@@ -169,7 +174,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What has lasted long enough
+// Review of unchanged records
 //===----------------------------------------------------------------------===//
 
 CommandOutcome QuarantineLedger::review(const ReviewQuarantine &review) {
@@ -182,7 +187,7 @@
     if (record.Holder != AttemptId()) {
       record.Holder = AttemptId();
     } else if (record.Quarantined) {
-      // Servers get mended: one careful trial.
+      // The servers may have been repaired: allow one trial.
       record.Quarantined = false;
       record.LateTrials = 0;
       change(record);
@@ -203,7 +208,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// What others know
+// Updates for entries, and snapshots
 //===----------------------------------------------------------------------===//
 
 std::optional<QuarantineUpdate>
--- a/packages/state/pimentofront/src/State/QuarantineLedger.h
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.h
@@ -11,40 +11,46 @@
 
 /// \class QuarantineLedgerOptions
 /// \ingroup State
-/// \brief Part of the replicated state's meaning: the same on all replicas.
+/// \brief Options of the quarantine ledger. They determine the outcomes of
+/// replicated commands, so they must be the same on all replicas.
 struct QuarantineLedgerOptions {
-  /// Ends of servers that it takes to put a request in quarantine.
+  /// Server crashes after which a request may be put in quarantine, provided
+  /// that it is the only suspect in one of them.
   std::size_t EndsToQuarantine = 3;
-  /// So many do, whatever else was at work at each of them: what a request may
-  /// cost stays bounded also where it can't be told from its neighbours.
+  /// Server crashes after which a request is put in quarantine regardless of
+  /// other suspects. Bounds the crashes per request also where it always ran
+  /// together with the same other requests.
   std::size_t MostEnds = 5;
-  /// The same for trials without a clear end, after the third one.
+  /// Trials granted after EndsToQuarantine crashes, as far as they aren't known
+  /// not to have run. A request that has had this many is put in quarantine.
   std::uint32_t MostLateTrials = 2;
-  /// Requests remembered, of some 200 bytes each. A server that ends leaves up
-  /// to a batch of them behind, most for a second.
+  /// Maximum number of records, of some 200 bytes each. A server crash adds up
+  /// to a batch of them, most of which are removed within a second.
   std::size_t Capacity = 4096;
-  /// Removals remembered; whoever has missed more gets the whole ledger.
+  /// Recent removals stored; a receiver that missed more gets the whole ledger.
   std::size_t RemovalsKept = 4096;
 };
 
 /// \class QuarantineLedger
 /// \ingroup State
-/// \brief Which requests end the backend servers that run them (queries of
-/// death), over all entries.
+/// \brief Finds the requests that crash the backend servers that run them
+/// (queries of death), across all entries.
 ///
-/// A server that ends does so under all that it had, and all but one of these
-/// are innocent. So each is *watched*: one attempt at a time may be made, over
-/// the whole fleet, and the first server that survives it clears it. In
-/// *quarantine* goes a request that has seen EndsToQuarantine processes end,
-/// when nothing else explains one of these ends: no other request that is still
-/// under suspicion was waiting there for its first event. Innocents are cleared
-/// one by one, so that what is left explains the ends (adaptive group testing,
-/// Dorfman, 1943).
+/// When a server crashes, all requests that were running on it are suspects,
+/// although usually one caused the crash. Each of them becomes *watched*: only
+/// one attempt at a time may run in the whole fleet, and the first server that
+/// survives the request clears it. A request goes into *quarantine* when
+/// EndsToQuarantine processes have crashed while running it and in one of these
+/// crashes it is the only suspect: no other request that is still watched or
+/// quarantined was waiting there for its first event. Unaffected requests are
+/// cleared one by one, until those that remain explain the crashes (adaptive
+/// group testing, Dorfman, 1943).
 ///
-/// Invariant: a request is tried by one attempt at a time once it is watched,
-/// and is given to at most MostLateTrials further servers without a clear end
-/// after EndsToQuarantine have ended. There is no time in here: the leader says
-/// when something has lasted long enough (see QuarantineReview).
+/// Invariant: once a request is watched, at most one attempt runs it at a time;
+/// after EndsToQuarantine crashes, at most MostLateTrials further trials are
+/// granted whose outcome stays unclear. The ledger uses no clock: the leader
+/// decides when a record has been unchanged for long enough, see
+/// QuarantineReview.
 class QuarantineLedger {
 public:
   explicit QuarantineLedger(const QuarantineLedgerOptions &options = {})
@@ -56,15 +62,16 @@
   CommandOutcome review(const ReviewQuarantine &review);
   CommandOutcome release(const ReleaseQuarantine &release);
 
-  /// Grows with each change that entries must know of.
+  /// Increases with each change that entries must receive.
   std::uint64_t version() const { return Version; }
   const QuarantineRecord *find(const ContentHash &content) const;
   const std::map<ContentHash, QuarantineRecord> &records() const {
     return Records;
   }
-  /// \returns what changed after version \p known; nothing if that is all.
+  /// \returns what changed after version \p known; nothing if \p known is
+  /// current.
   std::optional<QuarantineUpdate> updateSince(std::uint64_t known) const;
-  /// Put in what a snapshot holds.
+  /// Inserts a record, or sets the version, from a snapshot.
   void restore(const QuarantineRecord &record);
   void restoreVersion(std::uint64_t version);
 
@@ -77,7 +84,8 @@
   void makeRoom();
   void putInQuarantine(QuarantineRecord &record);
   bool isGuilty(const QuarantineRecord &record) const;
-  /// \returns whether no other request explains that \p end came about.
+  /// \returns whether \p record is the only suspect in the crash \p end: it was
+  /// waiting for its first event then, and no other recorded request was.
   bool isAlone(const QuarantineRecord &record, const ServerEnd &end) const;
 
   QuarantineLedgerOptions Options;
@@ -88,11 +96,11 @@
     std::uint64_t At = 0;
   };
   std::deque<Removal> Removals;
-  /// Removals up to this version are forgotten.
+  /// Removals up to this version aren't stored any more.
   std::uint64_t RemovalsForgotten = 0;
 };
 
-/// \returns what entries have to know of \p record.
+/// \returns the state of \p record that entries receive.
 QuarantineState stateOf(const QuarantineRecord &record);
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/QuarantineReview.h
+++ b/packages/state/pimentofront/src/State/QuarantineReview.h
@@ -8,35 +8,38 @@
 /// \class QuarantineReviewOptions
 /// \ingroup State
 struct QuarantineReviewOptions {
-  /// A watched request that nobody sends any more is forgotten after so long:
-  /// callers come again within seconds, operators' scripts within a minute.
+  /// How long the record of a watched request is stored without a change.
+  /// Callers retry within seconds, operators' scripts within a minute.
   Duration WatchedKept = std::chrono::minutes(1);
-  /// One in quarantine gets one careful trial after so long, by which a server
-  /// is mended or replaced; the time doubles with each further quarantine, up
-  /// to sixteenfold.
+  /// How long a request stays in quarantine before it gets one trial; by then
+  /// the servers may have been repaired or replaced. Doubles with each further
+  /// quarantine, up to 16 times.
   Duration QuarantineKept = std::chrono::minutes(10);
-  /// Kept back for the way of the word that a trial has ended.
+  /// Added to the duration of a trial for the delay of the report that it has
+  /// ended.
   Duration TrialGrace = std::chrono::seconds(1);
-  /// How often the records are looked at.
+  /// Interval between two reviews of the records.
   Duration Period = std::chrono::seconds(1);
 };
 
 /// \class QuarantineReview
 /// \ingroup State
-/// \brief Tells the leader which records of the quarantine ledger have stood
-/// unchanged for their time.
+/// \brief Finds the records of the quarantine ledger that haven't changed for
+/// their retention time and are due for review.
 ///
-/// Kept by the leader alone, by its own boot clock: a new leader counts anew,
-/// so a jump of the time of day or a suspended host makes a time longer, never
+/// Used by the leader alone, on its own boot clock, which also counts the time
+/// that the host is suspended. A new leader starts to count anew. So a jump of
+/// the time of day or a suspended host may make these times longer, never
 /// shorter.
 class QuarantineReview {
 public:
   explicit QuarantineReview(const QuarantineReviewOptions &options = {})
       : Options(options) {}
 
-  /// \returns what is due; nothing between two periods.
+  /// \returns the records that are due; none when less than a period has passed
+  /// since the last review.
   ReviewQuarantine take(TimePoint now, const QuarantineLedger &ledger);
-  /// Another leader has counted meanwhile.
+  /// Starts all times anew, after another replica has led.
   void reset() { Seen.clear(); }
 
 private:
--- a/packages/state/pimentofront/src/State/StateMachine.cpp
+++ b/packages/state/pimentofront/src/State/StateMachine.cpp
@@ -6,7 +6,8 @@
 namespace pimentofront {
 namespace {
 
-/// Outcomes kept for resent commands: weeks at the rate that is expected.
+/// Outcomes stored to answer resent commands: several weeks' worth at the
+/// expected rate of commands.
 constexpr std::size_t OutcomesKept = 20000;
 constexpr std::size_t MaxNameBytes = 128;
 constexpr std::size_t MaxSourceBytes = 1024;
@@ -239,7 +240,8 @@
   std::erase_if(adapter.Versions, [&](const VersionRecord &it) {
     return it.Number == body.Number;
   });
-  // Named versions come without end; the oldest one is forgotten.
+  // NameVersion keeps adding versions to an adapter, so the oldest version is
+  // dropped at the limit.
   if (adapter.Versions.size() >= MaxVersions)
     adapter.Versions.erase(adapter.Versions.begin());
   adapter.Versions.push_back({.Number = body.Number, .Live = true});
@@ -259,7 +261,8 @@
     std::visit([&](const auto &it) { add(it); }, record);
   });
   Claims.forEach(add);
-  // Without it, an earlier release can read the state, too.
+  // Omitted while the quarantine ledger is unused, so that an earlier release,
+  // which doesn't know this item, can still read the state.
   if (Quarantine.version() > 0)
     add(QuarantineHeader{Quarantine.version()});
   for (const auto &[content, it] : Quarantine.records())
--- a/packages/state/pimentofront/src/State/StateMachine.h
+++ b/packages/state/pimentofront/src/State/StateMachine.h
@@ -9,28 +9,32 @@
 
 namespace pimentofront {
 
-/// \returns whether adapters, hosts, zones and the like may be named so: 1 to
-/// 128 of the characters a-z A-Z 0-9 - _ . /
+/// \returns whether \p name is valid for an adapter, a host, a zone and the
+/// like: 1 to 128 of the characters a-z A-Z 0-9 - _ . /
 bool isProperName(std::string_view name);
 
 /// \class StateMachine
 /// \ingroup State
-/// \brief What the log's commands do. Deterministic: the same commands in the
-/// same order give the same state and outcomes on every replica.
+/// \brief Applies the commands of the replicated log. Deterministic: the same
+/// commands in the same order give the same state and outcomes on every
+/// replica.
 class StateMachine {
 public:
   explicit StateMachine(const ClaimLedgerOptions &options = {})
       : Options(options), Claims(options) {}
 
-  /// \param wallMilliseconds time of the log entry.
+  /// Applies one command. A command whose id was applied before isn't applied
+  /// again: it gets its first outcome, or IdReused if its content differs.
+  /// \param wallMilliseconds wall-clock time of the log entry.
   CommandOutcome apply(std::uint64_t wallMilliseconds, const Command &command);
 
   const Configuration &configuration() const { return Records; }
   const ClaimLedger &claims() const { return Claims; }
   const QuarantineLedger &quarantine() const { return Quarantine; }
-  /// \returns the whole state as bytes, item by item.
+  /// \returns the whole state, each item prefixed with its length in four
+  /// bytes.
   std::string encode() const;
-  /// Replaces the state by an encoded one.
+  /// Replaces the state with the one encoded in \p bytes.
   tl::expected<void, DecodeError> decode(std::string_view bytes);
 
 private:
@@ -44,13 +48,13 @@
   CommandOutcome evacuate(const Command &command, const EvacuateZone &body);
   CommandOutcome putDocument(const Command &command, const PutDocument &body);
   CommandOutcome nameVersion(const Command &command, const NameVersion &body);
-  /// Puts a changed record in force as the next revision.
+  /// Stores \p record as the next revision of the configuration.
   template <class Record>
   CommandOutcome accept(const Command &command, Record record);
   CommandOutcome refuse(CommandResult result, std::string detail) const;
   CommandOutcome conflict(const OperatorName &winner, std::string detail) const;
-  /// \returns the outcome of a command for the quarantine ledger; nothing if
-  /// \p body is none.
+  /// \returns the outcome if \p body is a command for the quarantine ledger,
+  /// else nothing.
   std::optional<CommandOutcome> applyQuarantine(const CommandBody &body);
   void remember(const OutcomeRecord &record);
   void restoreItem(const StateItem &item);
