--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -65,7 +65,7 @@
 guard "the configuration never goes back" \
   packages/state/pimentofront/src/State/ConfigurationCopy.cpp \
   'if (changedAt(it) <= Records.revision())' 'if (false)' \
-  "a copy never goes back and a part of a difference isn't a state"
+  "a copy keeps its revision after older records and partial updates"
 guard "an engine is waited out before it is used" \
   $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settle)' 'if (false)' \
   "an agent beside a running engine waits out what it doesn't know"
--- a/test/EvacuationTest.cpp
+++ b/test/EvacuationTest.cpp
@@ -27,7 +27,8 @@
 
 } // namespace
 
-TEST_CASE("an order is new, in force, or may come late", "[evacuation-order]") {
+TEST_CASE("an order is new, in force, or possibly a late resend",
+          "[evacuation-order]") {
   EvacuationOrders orders(ResentFor);
   orders.lead(Now, 1);
   const Configuration none;
@@ -36,20 +37,21 @@
   orders.noteProposed(Zone);
   CHECK(orders.judge(Now, none, Zone, true) == EvacuationVerdict::MaybeLate);
   CHECK(orders.judge(Now, none, Zone, false) == EvacuationVerdict::MaybeLate);
-  // Without this a zone whose order couldn't be proposed took no further ones.
+  // If this isn't recorded, the zone takes no further orders.
   orders.noteNotProposed(Zone);
   CHECK(orders.judge(Now, none, Zone, true) == EvacuationVerdict::New);
   orders.noteProposed(Zone);
   orders.noteTaken(Now, Zone, true);
   const Configuration away = withZone(true);
   CHECK(orders.judge(Now, away, Zone, true) == EvacuationVerdict::InForce);
-  // A former leader may have acknowledged the opposite without a change.
+  // A former leader may have acknowledged an opposite order that changed
+  // nothing.
   CHECK(orders.judge(Now, away, Zone, false) == EvacuationVerdict::MaybeLate);
   CHECK(orders.judge(Now + ResentFor, away, Zone, false) ==
         EvacuationVerdict::New);
 }
 
-TEST_CASE("an order that was acknowledged again may be resent again",
+TEST_CASE("the resend time counts from the last acknowledgement",
           "[evacuation-order]") {
   EvacuationOrders orders(ResentFor);
   orders.lead(Now, 1);
@@ -58,15 +60,15 @@
   CHECK(orders.judge(Now + 15s, back, Zone, true) ==
         EvacuationVerdict::MaybeLate);
   CHECK(orders.judge(Now + 16s, back, Zone, true) == EvacuationVerdict::New);
-  // Another leader knows only that whatever was taken was taken before it
-  // began.
+  // A new leader knows only that earlier orders were acknowledged before its
+  // term.
   orders.lead(Now + 20s, 2);
   CHECK(orders.judge(Now + 25s, back, Zone, true) ==
         EvacuationVerdict::MaybeLate);
   CHECK(orders.judge(Now + 26s, back, Zone, true) == EvacuationVerdict::New);
 }
 
-TEST_CASE("the state keeps evacuations, also in a snapshot",
+TEST_CASE("evacuations are part of the state and of its snapshot",
           "[evacuation-order]") {
   StateMachine state;
   CHECK(apply(state, {Zone, false}).At == 0);
@@ -99,7 +101,7 @@
   CHECK(copy.isEvacuated(Zone));
 }
 
-TEST_CASE("zones are allowed by the regions of route and account together",
+TEST_CASE("a zone must be allowed by the regions of both route and account",
           "[regions]") {
   const ZoneRegions regions = {{ZoneName("a"), RegionName("north")},
                                {ZoneName("b"), RegionName("north")},
@@ -120,11 +122,11 @@
   CHECK(contains({regions, {}, north}) == "ab");
   CHECK(contains({regions, both, north}) == "ab");
   CHECK(contains({regions, north, other}).empty());
-  // Without knowledge of the regions nothing is certain to be allowed.
+  // No zone is allowed while the regions are unknown.
   CHECK(contains({{}, north, {}}).empty());
 }
 
-TEST_CASE("hosts outside the allowed zones are passed by", "[regions]") {
+TEST_CASE("hosts outside the allowed zones are not chosen", "[regions]") {
   MemberViews members;
   for (const char *it : {"a", "b"}) {
     MemberView &view = members[HostName(it)];
@@ -149,7 +151,8 @@
   }
 }
 
-TEST_CASE("a cold server is paced until it is warm", "[pacer]") {
+TEST_CASE("requests to a cold server are rate limited until it is warm",
+          "[pacer]") {
   RequestPacer pacer;
   CHECK_FALSE(pacer.applyCold(Now, {}));
   CHECK_FALSE(pacer.paces(Now));
@@ -159,14 +162,14 @@
   CHECK(pacer.wait(Now, 0) == 500ms + 1us);
   CHECK(pacer.wait(Now, 100) == 3s);
   CHECK(pacer.take(Now + 500ms));
-  // An older word on its end doesn't make it shorter.
+  // A report with an earlier end doesn't shorten the cold time.
   CHECK_FALSE(
       pacer.applyCold(Now + 1s, {.PerThousandSeconds = 2000, .Left = 1s}));
   CHECK(pacer.take(Now + 1s));
   CHECK_FALSE(pacer.take(Now + 1s));
   CHECK(pacer.wait(Now + 3s, 100) == 0s);
   CHECK(pacer.interval(Now + 3s) == 0s);
-  // Of another process a limit isn't known, but it may be cold.
+  // After a reset for a new process its limit is unknown, but it may be cold.
   pacer.apply(Now, {.Named = true, .PerThousandSeconds = 500});
   pacer.reset();
   CHECK_FALSE(pacer.isLimited());
@@ -174,7 +177,8 @@
   CHECK_FALSE(pacer.paces(Now + 3s));
 }
 
-TEST_CASE("of a limit and a cold start the lower one holds", "[pacer]") {
+TEST_CASE("the lower one of a rate limit and a cold server's rate applies",
+          "[pacer]") {
   RequestPacer pacer;
   pacer.apply(Now, {.Named = true, .PerThousandSeconds = 1000});
   pacer.applyCold(Now, {.PerThousandSeconds = 5000, .Left = 2s});
@@ -184,11 +188,11 @@
   other.applyCold(Now, {.PerThousandSeconds = 1000, .Left = 2s});
   CHECK(other.interval(Now) == 1s);
   CHECK(other.interval(Now + 2s) == 200ms);
-  // Two while it is cold, and one at the limit.
+  // Two requests while the server is cold, and one at the limit.
   CHECK(other.wait(Now, 2) == 2s + 200ms + 1us);
 }
 
-TEST_CASE("the words on cold servers and regions are decoded",
+TEST_CASE("the settings of cold servers and regions are decoded",
           "[evacuation-order]") {
   Findings findings;
   const auto registration = [&](const std::string &cold) {
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -15,9 +15,10 @@
   return {HostName(name), startedAt};
 }
 
-/// A ledger and the words of its entries.
+/// A ledger and the commands that its entries send.
 struct LedgerUnderTest {
-  /// All of \p atWork were waiting for their first event.
+  /// Reports that \p process crashed while it ran \p atWork, all of them
+  /// waiting for their first event unless \p answering.
   void end(const ServerProcess &process, std::vector<std::uint64_t> atWork,
            bool answering = false) {
     ReportServerEnd report{process, {}};
@@ -31,7 +32,7 @@
   void give(std::uint64_t n, TrialEnding ending, std::uint64_t by = 1) {
     Ledger.end({content(n), attempt(by), ending});
   }
-  /// A trial of \p n that ends its server.
+  /// A trial of \p n that crashes \p process.
   void failedTrial(std::uint64_t n, const ServerProcess &process) {
     REQUIRE(claim(n) == CommandResult::Accepted);
     Ledger.report({process, {{content(n), false, attempt(1)}}});
@@ -45,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("what no server ended under needs no leave") {
+TEST_CASE("a request that crashed no server needs no trial grant") {
   LedgerUnderTest it;
   CHECK(it.claim(1) == CommandResult::NotFound);
 }
@@ -54,15 +55,16 @@
   LedgerUnderTest it;
   it.end(server("s1"), {1});
   CHECK(it.claim(1, 1) == Granted);
-  CHECK(it.claim(1, 1) == Granted); // Its answer was lost.
+  CHECK(it.claim(1, 1) == Granted); // Resent: the reply was lost.
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
-  it.give(1, TrialEnding::NotRun, 2); // Not the holder's word.
+  it.give(1, TrialEnding::NotRun, 2); // Not the holder.
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
   it.give(1, TrialEnding::NotRun, 1);
   CHECK(it.claim(1, 2) == Granted);
 }
 
-TEST_CASE("three ends, one of them alone, put a request in quarantine") {
+TEST_CASE(
+    "three crashes, in one of them the only suspect, lead to quarantine") {
   LedgerUnderTest it;
   it.end(server("s1"), {1, 2, 3});
   it.failedTrial(1, server("s2"));
@@ -72,12 +74,12 @@
   CHECK(it.claim(2) == Granted);
 }
 
-TEST_CASE("a process counts once, whoever saw it end") {
+TEST_CASE("the crash of a process counts once, whoever reports it") {
   LedgerUnderTest it;
   for (int i = 0; i < 4; ++i)
     it.end(server("s1"), {1});
   CHECK(it.Ledger.find(content(1))->Ends.size() == 1);
-  SECTION("its next process counts anew") {
+  SECTION("the next process under its name counts separately") {
     it.end(server("s1", 2), {1});
     it.end(server("s1", 3), {1});
     CHECK(it.claim(1) == Quarantined);
@@ -85,7 +87,7 @@
 }
 
 TEST_CASE(
-    "a trial that ends a process known to have ended has met a later one") {
+    "a trial that crashes a process known to have crashed ran on a later one") {
   LedgerUnderTest it;
   const ServerProcess known = server("s1");
   it.end(known, {1});
@@ -95,7 +97,8 @@
   CHECK(it.claim(1) == Quarantined);
 }
 
-TEST_CASE("a trial and another attempt that meet one process count it once") {
+TEST_CASE(
+    "the crash of a process counts once for a trial and another attempt") {
   LedgerUnderTest it;
   it.end(server("s1"), {1});
   REQUIRE(it.claim(1) == Granted);
@@ -104,25 +107,27 @@
   CHECK(it.Ledger.find(content(1))->Ends.size() == 2);
 }
 
-TEST_CASE("neighbours that saw the same ends aren't told apart too early") {
+TEST_CASE(
+    "requests that share all their crashes stay watched up to four crashes") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3", "s4"}) {
     it.end(server(name), {1, 2});
     CHECK(it.claim(1) == Granted);
     it.give(1, TrialEnding::NotRun);
   }
-  SECTION("the one that survives a server leaves the other one guilty") {
+  SECTION("when one is cleared the other one is quarantined") {
     it.give(2, TrialEnding::Survived);
     CHECK(it.Ledger.find(content(2)) == nullptr);
     CHECK(it.claim(1) == Quarantined);
   }
-  SECTION("but five ends are too many in any case") {
+  SECTION("after the fifth crash it is quarantined in any case") {
     it.end(server("s5"), {1, 2});
     CHECK(it.claim(1) == Quarantined);
   }
 }
 
-TEST_CASE("what was answering when its servers ended is no first suspect") {
+TEST_CASE("a request that was being answered is quarantined only by the fifth "
+          "crash") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3", "s4"})
     it.end(server(name), {1}, /*answering=*/true);
@@ -132,7 +137,7 @@
   CHECK(it.claim(1) == Quarantined);
 }
 
-TEST_CASE("trials after the third end that tell nothing are few") {
+TEST_CASE("trials with an unclear outcome after the third crash are limited") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3"})
     it.end(server(name), {1, 2});
@@ -141,14 +146,14 @@
     it.give(1, TrialEnding::Unclear);
   }
   CHECK(it.claim(1) == Quarantined);
-  // One that didn't reach a server isn't one.
+  // A trial that reached no server doesn't count.
   for (int i = 0; i < 9; ++i) {
     CHECK(it.claim(2) == Granted);
     it.give(2, TrialEnding::NotRun);
   }
 }
 
-TEST_CASE("servers get mended: a quarantine ends with one careful trial") {
+TEST_CASE("a quarantine ends with one trial, since servers may be repaired") {
   LedgerUnderTest it;
   QuarantineReview review({.WatchedKept = 1min, .QuarantineKept = 10min});
   for (const char *name : {"s1", "s2", "s3"})
@@ -161,12 +166,12 @@
   pass(Now + 9min);
   CHECK(it.claim(1) == Quarantined);
   pass(Now + 10min);
-  SECTION("which a server survives") {
+  SECTION("the server survives it") {
     CHECK(it.claim(1) == Granted);
     it.give(1, TrialEnding::Survived);
     CHECK(it.claim(1) == CommandResult::NotFound);
   }
-  SECTION("or not, and the time doubles") {
+  SECTION("the server crashes, and the time doubles") {
     it.failedTrial(1, server("s4"));
     CHECK(it.claim(1) == Quarantined);
     pass(Now + 11min);
@@ -175,7 +180,7 @@
     pass(Now + 32min);
     CHECK(it.claim(1) == Granted);
   }
-  SECTION("an end that was under way doesn't count as such a trial") {
+  SECTION("a crash reported outside a trial quarantines it again") {
     it.end(server("s9"), {1});
     pass(Now + 11min);
     pass(Now + 22min);
@@ -183,7 +188,8 @@
   }
 }
 
-TEST_CASE("what nobody sends any more is forgotten, with a lost trial before") {
+TEST_CASE("a watched request that nobody resends is removed, also after a lost "
+          "trial") {
   LedgerUnderTest it;
   QuarantineReview review({.WatchedKept = 1min});
   it.end(server("s1"), {1, 2});
@@ -192,7 +198,7 @@
     it.Ledger.review(review.take(at, it.Ledger));
   };
   pass(Now);
-  // Its entry has ended: the leave lasts as long as the attempt could.
+  // Its entry has crashed: the grant lasts for the maximum time of the attempt.
   pass(Now + 5s);
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
   pass(Now + 6s);
@@ -201,12 +207,12 @@
   CHECK_FALSE(it.Ledger.find(content(2)));
 }
 
-TEST_CASE("a host that sleeps makes a quarantine's time pass, too") {
+TEST_CASE("time in which the host is suspended counts for a review") {
   LedgerUnderTest it;
   QuarantineReview review({.WatchedKept = 1min});
   it.end(server("s1"), {1});
   review.take(Now, it.Ledger);
-  // The boot clock has counted the hour asleep; nothing else has.
+  // Only the boot clock counts the hour of suspension.
   CHECK(review.take(Now + 1h, it.Ledger).Due.size() == 1);
 }
 
@@ -220,7 +226,8 @@
   CHECK(it.claim(1) == CommandResult::NotFound);
 }
 
-TEST_CASE("entries get what changed, or all if they missed removals") {
+TEST_CASE(
+    "entries receive changes, or the whole ledger if they missed removals") {
   QuarantineLedger ledger({.RemovalsKept = 2});
   const auto report = [&](std::uint64_t n) {
     ledger.report({server("s1"), {{content(n), false, {}}}});
@@ -245,7 +252,8 @@
   CHECK(third->Notices.size() == 1);
 }
 
-TEST_CASE("the ledger is bounded, and gives up what is watched longest") {
+TEST_CASE(
+    "at capacity the ledger evicts the watched request unchanged for longest") {
   QuarantineLedger ledger({.Capacity = 3});
   for (const char *name : {"s1", "s2", "s3"})
     ledger.report({server(name), {{content(1), false, {}}}});
@@ -257,7 +265,7 @@
   CHECK(ledger.find(content(9)));
 }
 
-TEST_CASE("the quarantine outlives a restart of the replicas") {
+TEST_CASE("the quarantine survives a restart of the replicas") {
   StateMachine state;
   for (const char *name : {"s1", "s2", "s3"})
     state.apply(
@@ -268,6 +276,6 @@
   REQUIRE(copy.decode(state.encode()));
   CHECK(copy.apply(0, claim).Result == Quarantined);
   CHECK(copy.quarantine().version() == state.quarantine().version());
-  // One that was further than the snapshot tells gets the whole.
+  // Removals aren't in the snapshot, so a receiver gets the whole ledger.
   CHECK(copy.quarantine().updateSince(0)->Full);
 }
--- a/test/StateTest.cpp
+++ b/test/StateTest.cpp
@@ -33,7 +33,8 @@
 
 } // namespace
 
-TEST_CASE("of two operators with one version number exactly one wins") {
+TEST_CASE(
+    "of two operators that create the same version exactly one succeeds") {
   StateMachine state = withAdapter();
   CHECK(state.apply(0, command("x", version(5, "of-anna"), "anna")).Result ==
         CommandResult::Accepted);
@@ -45,7 +46,8 @@
   CHECK(adapter->Versions.at(0).Source == "of-anna");
 }
 
-TEST_CASE("a command sent again gets its first outcome, also after others") {
+TEST_CASE(
+    "a resent command gets its first outcome, also after other commands") {
   StateMachine state = withAdapter();
   const Command first = command("x", version(1));
   const CommandOutcome outcome = state.apply(0, first);
@@ -55,7 +57,7 @@
         CommandResult::IdReused);
 }
 
-TEST_CASE("a change that builds on an old record loses") {
+TEST_CASE("a change based on an outdated record is a conflict") {
   StateMachine state = withAdapter();
   const Revision built = state.configuration().revision();
   state.apply(0, command("x", version(1)));
@@ -63,7 +65,7 @@
         CommandResult::Conflict);
 }
 
-TEST_CASE("what isn't proper changes nothing") {
+TEST_CASE("an invalid command changes nothing") {
   StateMachine state = withAdapter();
   const std::string before = state.encode();
   const std::string longName(129, 'x');
@@ -78,7 +80,7 @@
   CHECK(state.encode() == before);
 }
 
-TEST_CASE("the state is the same after it was encoded") {
+TEST_CASE("the state survives encoding and decoding") {
   StateMachine state = withAdapter();
   state.apply(0, command("x", version(1)));
   state.apply(2000, {.Body = claim(1)});
@@ -90,7 +92,7 @@
   CHECK_FALSE(copy.decode(state.encode().substr(1)));
 }
 
-TEST_CASE("one attempt is granted, whoever asks again") {
+TEST_CASE("a claim is granted to one attempt only") {
   ClaimLedger ledger;
   CHECK(ledger.claim(2000, claim(1)).Result == CommandResult::Accepted);
   CHECK(ledger.claim(2000, claim(1)).Result == CommandResult::Accepted);
@@ -104,7 +106,7 @@
   CHECK(again.Answer == "receipt");
 }
 
-TEST_CASE("what did not run may be claimed by another attempt only") {
+TEST_CASE("a request that did not run may be claimed by another attempt only") {
   ClaimLedger ledger;
   ledger.claim(2000, claim(1));
   ledger.end(2000, ending(1, ClaimEnding::NotRun));
@@ -112,14 +114,15 @@
   CHECK(ledger.claim(2000, claim(2)).Result == CommandResult::Accepted);
 }
 
-TEST_CASE("a withdrawal that overtakes its claim holds") {
+TEST_CASE("a withdrawal that overtakes its claim prevents the grant") {
   ClaimLedger ledger;
   ledger.end(2000, ending(1, ClaimEnding::NotRun));
   CHECK(ledger.claim(2000, claim(1)).Result == CommandResult::Invalid);
   CHECK(ledger.claim(2000, claim(2)).Result == CommandResult::Accepted);
 }
 
-TEST_CASE("a holder that never tells leaves an unknown, not a second run") {
+TEST_CASE(
+    "a claim whose holder never reports becomes unknown, not granted again") {
   ClaimLedger ledger;
   ledger.claim(2000, claim(1));
   CHECK(ledger.claim(2000 + 119'000, claim(2)).Result ==
@@ -128,7 +131,7 @@
         CommandResult::AlreadyUnknown);
 }
 
-TEST_CASE("a claim is forgotten only when its id can't be sent any more") {
+TEST_CASE("a claim is removed only when its request can't be resent any more") {
   ClaimLedger ledger;
   ledger.claim(2000, claim(1));
   ledger.end(2000, ending(1, ClaimEnding::Answered));
@@ -144,7 +147,7 @@
   CHECK(ledger.claim(5'000'000, later).Result == CommandResult::Invalid);
 }
 
-TEST_CASE("a store of many adapters packs itself and finds each") {
+TEST_CASE("a store of many adapters compacts itself and finds each of them") {
   AdapterStore store;
   for (int round = 0; round < 3; ++round)
     for (int i = 0; i < 5000; ++i)
@@ -162,21 +165,21 @@
   CHECK(store.recordAt(changed[9].Where).Name == AdapterName("adapter-4999"));
 }
 
-TEST_CASE("a copy serves only on what it asked for less than a lease ago") {
+TEST_CASE("a copy is confirmed only for a lease from when its probe was sent") {
   ConfigurationCopy copy({.Lease = 4s});
   TimePoint now{100s};
   CHECK_FALSE(copy.isConfirmed(now));
   const std::uint64_t nonce = copy.beginProbe(now);
   copy.onProbeReply({.Nonce = nonce, .Confirmed = 3});
-  CHECK_FALSE(copy.isConfirmed(now)); // Revision 3 hasn't come yet.
+  CHECK_FALSE(copy.isConfirmed(now)); // Revision 3 hasn't arrived yet.
   copy.apply({.UpTo = 3});
   CHECK(copy.isConfirmed(now + 3900ms));
   CHECK_FALSE(copy.isConfirmed(now + 4s));
-  copy.onProbeReply({.Nonce = nonce, .Confirmed = 3}); // An old answer again.
+  copy.onProbeReply({.Nonce = nonce, .Confirmed = 3}); // A duplicate reply.
   CHECK_FALSE(copy.isConfirmed(now + 4s));
 }
 
-TEST_CASE("a copy never goes back and a part of a difference isn't a state") {
+TEST_CASE("a copy keeps its revision after older records and partial updates") {
   ConfigurationCopy copy;
   const auto kind = [](const char *name, Revision at) {
     return KindRecord{.Name = KindName(name), .ChangedAt = at};
@@ -192,7 +195,7 @@
   CHECK(copy.findKind(KindName("a"))->Weight == 1);
 }
 
-TEST_CASE("members come by difference, and a gap is noticed") {
+TEST_CASE("a follower applies changes of members and detects missing ones") {
   MemberTable leader({.Lease = 6s, .ChangesKept = 4});
   MemberTable follower;
   const TimePoint now{100s};
@@ -218,7 +221,8 @@
   CHECK(leader.updateSince(follower.version())->Full);
 }
 
-TEST_CASE("a lease runs out, and a new leader takes its time to be complete") {
+TEST_CASE("a member's lease expires, and a new leader's table is complete "
+          "after one") {
   MemberTable table({.Lease = 6s});
   const TimePoint now{100s};
   table.beginTerm(now, 1);
@@ -232,9 +236,9 @@
   CHECK(table.members().empty());
 }
 
-// Servers that announced themselves each 3 s fell out of use when one
-// announcement was lost: the lease of 4 s fitted a period of 1.2 s.
-TEST_CASE("a server's lease follows the period in which it announces itself") {
+// With the hosts' lease of 4 s, which suits an interval of 1.2 s, one lost
+// announcement of a server that announces itself every 3 s removed that server.
+TEST_CASE("a self-registered server has a lease of its own") {
   MemberTable table({.Lease = 4s, .ServerLease = 10s});
   const TimePoint now{100s};
   table.beginTerm(now, 1);
@@ -244,7 +248,7 @@
                        .Address = "1.0.0.1:80",
                        .Registered = true});
   CHECK(table.expire(now + 7s) == std::vector{HostName("agent")});
-  // Whoever hasn't announced itself yet may still be there.
+  // A running server may not have announced itself yet.
   CHECK_FALSE(table.complete());
   CHECK(table.expire(now + 10s).empty());
   CHECK(table.complete());
@@ -260,7 +264,7 @@
           .Registered = true};
 }
 
-/// \returns who is in use at the address.
+/// \returns the names of all members, which are those that own the address.
 std::string ownerOf(const MemberTable &table) {
   std::string owners;
   for (const auto &[host, it] : table.members())
@@ -270,8 +274,8 @@
 
 } // namespace
 
-// A heartbeat that a cut delayed comes after its sender has crashed, and after
-// a new process has registered at the same address.
+// A network partition can delay a heartbeat until its sender has crashed and a
+// new process has registered at the same address.
 TEST_CASE("a late heartbeat of a former process doesn't displace the new one") {
   MemberTable table({.Lease = 6s});
   const TimePoint now{100s};
@@ -286,11 +290,11 @@
   CHECK(table.version() == version);
 }
 
-TEST_CASE("whoever goes on sending heartbeats has its address back") {
+TEST_CASE("a process that continues to send heartbeats gets its address back") {
   MemberTable table({.Lease = 6s});
   const TimePoint now{100s};
   table.beginTerm(now, 1);
-  // A new leader knows neither, and hears the late one last.
+  // A new leader knows neither and receives the late announcement last.
   CHECK(table.announce(now, registered("new"), 7));
   CHECK(table.announce(now + 100ms, registered("old"), 4));
   CHECK(ownerOf(table) == "old");
@@ -310,7 +314,7 @@
           .Registered = true};
 }
 
-/// A table of a leader that has just begun.
+/// The table of a leader at the start of its term.
 struct TableUnderTest {
   TableUnderTest() { Table.beginTerm(Now, 1); }
   bool announce(Duration at, const MemberRecord &member, std::uint64_t n) {
@@ -326,10 +330,10 @@
 
 } // namespace
 
-TEST_CASE("a server that starts again under its name is believed at once") {
+TEST_CASE("a server that restarts under its name is accepted at once") {
   TableUnderTest it;
   CHECK(it.announce(0s, process("s", 1000), 9));
-  // It counts anew; three times within a lease.
+  // Its sequence starts anew; it restarts three times within one lease.
   CHECK(it.announce(1s, process("s", 2000, "1.0.0.2:80"), 1));
   CHECK(it.announce(2s, process("s", 3000), 1));
   CHECK(it.announce(3s, process("s", 4000), 1));
@@ -337,15 +341,16 @@
   CHECK(it.Table.members().at(HostName("s")).Address == "1.0.0.1:80");
 }
 
-TEST_CASE("late words of a former process under the name change nothing") {
+TEST_CASE(
+    "late announcements of a former process under a name change nothing") {
   TableUnderTest it;
   MemberRecord leaving = process("s", 1000);
   leaving.Leaving = true;
-  SECTION("after the next one's first") {
+  SECTION("after the new process announced itself") {
     CHECK(it.announce(0s, process("s", 1000), 8));
     CHECK(it.announce(1s, process("s", 2000), 1));
   }
-  SECTION("though a new leader hears the former one's first") {
+  SECTION("when a new leader receives the former process first") {
     CHECK(it.announce(0s, process("s", 1000), 8));
     it.Table.beginTerm(TableUnderTest::Now + 500ms, 2);
     CHECK(it.announce(600ms, process("s", 1000), 9));
@@ -354,11 +359,11 @@
   const MemberVersion version = it.Table.version();
   CHECK_FALSE(it.announce(1100ms, leaving, 10));
   CHECK_FALSE(it.announce(1200ms, leaving, 11));
-  // The next one goes on.
+  // The new process continues.
   CHECK(it.announce(2200ms, process("s", 2000), 2));
   CHECK_FALSE(it.announce(2300ms, leaving, 12));
   CHECK(it.Table.version() == version);
-  // Its goodbye, too.
+  // Nor does the former process's deregistration.
   it.announce(2400ms,
               {.Host = HostName("s"),
                .Incarnation = 1000,
@@ -368,13 +373,14 @@
   CHECK(it.startOf("s") == 2000);
 }
 
-TEST_CASE("whoever started earlier by a clock set back is believed in time") {
+TEST_CASE("a process with an earlier start time is accepted when the other is "
+          "silent") {
   TableUnderTest it;
   CHECK(it.announce(0s, process("s", 5000), 3));
   CHECK_FALSE(it.announce(1s, process("s", 4000), 1));
   CHECK(it.announce(2200ms, process("s", 4000), 2));
   CHECK(it.startOf("s") == 4000);
-  // What the former one said last comes late.
+  // The last announcements of the former process arrive late.
   CHECK_FALSE(it.announce(2300ms, process("s", 5000), 4));
   CHECK(it.announce(3400ms, process("s", 4000), 3));
   CHECK_FALSE(it.announce(3500ms, process("s", 5000), 5));
@@ -389,24 +395,26 @@
   CHECK(it.startOf("s") == 5000);
 }
 
-TEST_CASE("a goodbye that names no process is one of the one in use") {
+TEST_CASE(
+    "a deregistration without an incarnation removes the current process") {
   TableUnderTest it;
   const MemberRecord goodbye{
       .Host = HostName("s"), .Gone = true, .Registered = true};
   CHECK(it.announce(0s, process("s", 5000), 3));
   it.announce(1s, goodbye, 0);
   CHECK(it.startOf("s") == 0);
-  // A heartbeat from before comes late.
+  // A heartbeat from before the deregistration arrives late.
   CHECK_FALSE(it.announce(2s, process("s", 5000), 4));
-  // The next process isn't held to it.
+  // The deregistration doesn't apply to the next process.
   CHECK(it.announce(3s, process("s", 6000), 1));
-  // Was it a former one's, whoever goes on living is back after a while.
+  // If it came from a former process, the running one is accepted again later.
   it.announce(4s, goodbye, 0);
   CHECK_FALSE(it.announce(10s, process("s", 6000), 7));
   CHECK(it.announce(20s, process("s", 6000), 15));
 }
 
-TEST_CASE("a server that doesn't tell its start is late until its lease ends") {
+TEST_CASE(
+    "a server without a start time is rejected until its former lease ends") {
   TableUnderTest it;
   CHECK(it.announce(0s, process("s", 0), 9));
   CHECK_FALSE(it.announce(2s, process("s", 0), 1));
