--- a/packages/state/pimentofront/src/State/AdapterStore.h
+++ b/packages/state/pimentofront/src/State/AdapterStore.h
@@ -30,17 +30,19 @@
   std::size_t memoryBytes() const;
   /// Position of a record, in units of 8 bytes, plus one; 0 means no record.
   /// Valid until the next put().
-  using Place = std::uint32_t;
+  using RecordHandle = std::uint32_t;
   /// \class Changed
   /// \brief Handle of a record and the revision of its last change.
   struct Changed {
     Revision At = 0;
-    Place Where = 0;
+    RecordHandle Handle = 0;
   };
   /// \returns the records that changed after \p since, in order of change,
   /// without decoding them.
   std::vector<Changed> changedSince(Revision since) const;
-  AdapterRecord recordAt(Place place) const { return *decodeAt(place); }
+  AdapterRecord recordAt(RecordHandle handle) const {
+    return *decodeAt(handle);
+  }
 
 private:
   static constexpr std::size_t BlockBytes = std::size_t(256) << 10;
@@ -49,18 +51,18 @@
     std::uint32_t Size;
     std::uint32_t NameSize;
   };
-  const char *at(Place place) const;
-  std::string_view nameAt(Place place) const;
-  Header headerAt(Place place) const;
-  std::optional<AdapterRecord> decodeAt(Place place) const;
-  std::size_t findIndex(std::string_view name) const;
-  Place append(const AdapterRecord &record);
+  const char *at(RecordHandle handle) const;
+  std::string_view nameAt(RecordHandle handle) const;
+  Header headerAt(RecordHandle handle) const;
+  std::optional<AdapterRecord> decodeAt(RecordHandle handle) const;
+  std::size_t findSlot(std::string_view name) const;
+  RecordHandle append(const AdapterRecord &record);
   void growIndex();
-  void pack();
+  void compact();
 
   std::vector<std::unique_ptr<char[]>> Blocks;
   std::size_t BlockUsed = 0;
-  std::vector<Place> Index;
+  std::vector<RecordHandle> Index;
   std::size_t Count = 0;
   std::size_t LiveBytes = 0;
 };
--- a/packages/state/pimentofront/src/State/ClaimLedger.cpp
+++ b/packages/state/pimentofront/src/State/ClaimLedger.cpp
@@ -2,24 +2,25 @@
 
 namespace pimentofront {
 
-void ClaimLedger::forgetOld(std::uint64_t wallMilliseconds) {
-  const std::uint64_t kept =
+void ClaimLedger::removeExpired(std::uint64_t wallMilliseconds) {
+  const std::uint64_t retention =
       Options.RetentionMilliseconds + Options.ClockSkewMilliseconds;
-  while (!ByIssue.empty() && ByIssue.begin()->first + kept < wallMilliseconds) {
-    Claims.erase(ByIssue.begin()->second);
-    ByIssue.erase(ByIssue.begin());
+  while (!ByIssueTime.empty() &&
+         ByIssueTime.begin()->first + retention < wallMilliseconds) {
+    Claims.erase(ByIssueTime.begin()->second);
+    ByIssueTime.erase(ByIssueTime.begin());
   }
 }
 
-void ClaimLedger::place(const ClaimKey &key, const ClaimRecord &record) {
+void ClaimLedger::insertClaim(const ClaimKey &key, const ClaimRecord &record) {
   const auto [it, isNew] = Claims.insert_or_assign(key, record);
   if (isNew)
-    ByIssue.emplace(record.IssuedAtMilliseconds, key);
+    ByIssueTime.emplace(record.IssuedAtMilliseconds, key);
 }
 
 CommandOutcome ClaimLedger::claim(std::uint64_t wallMilliseconds,
                                   const ClaimRequest &request) {
-  forgetOld(wallMilliseconds);
+  removeExpired(wallMilliseconds);
   const std::uint64_t issued = request.IssuedAtMilliseconds;
   if (issued + Options.RetentionMilliseconds < wallMilliseconds)
     return {.Result = CommandResult::Invalid,
@@ -31,25 +32,25 @@
   const auto it = Claims.find(key);
   if (it != Claims.end()) {
     const CommandOutcome outcome =
-        answerResend(wallMilliseconds, it->second, request);
+        outcomeOfResend(wallMilliseconds, it->second, request);
     const bool released = it->second.Ended &&
                           it->second.Ending == ClaimEnding::NotRun &&
                           it->second.Holder != request.Holder;
     if (!released || outcome.Result != CommandResult::Accepted)
       return outcome;
   }
-  place(key, {.Caller = request.Caller,
-              .Request = request.Request,
-              .ContentHash = request.ContentHash,
-              .Holder = request.Holder,
-              .ClaimedAtMilliseconds = wallMilliseconds,
-              .IssuedAtMilliseconds = issued});
+  insertClaim(key, {.Caller = request.Caller,
+                    .Request = request.Request,
+                    .ContentHash = request.ContentHash,
+                    .Holder = request.Holder,
+                    .ClaimedAtMilliseconds = wallMilliseconds,
+                    .IssuedAtMilliseconds = issued});
   return {};
 }
 
-CommandOutcome ClaimLedger::answerResend(std::uint64_t wallMilliseconds,
-                                         const ClaimRecord &known,
-                                         const ClaimRequest &request) const {
+CommandOutcome ClaimLedger::outcomeOfResend(std::uint64_t wallMilliseconds,
+                                            const ClaimRecord &known,
+                                            const ClaimRequest &request) const {
   const bool withdrawn = known.Ended && known.Ending == ClaimEnding::NotRun;
   if (withdrawn && known.Holder == request.Holder)
     return {.Result = CommandResult::Invalid,
@@ -67,7 +68,7 @@
   if (known.Holder == request.Holder)
     return {}; // The same attempt asks again because the reply was lost.
   const bool abandoned =
-      known.ClaimedAtMilliseconds + Options.AbandonedMilliseconds <
+      known.ClaimedAtMilliseconds + Options.AbandonTimeoutMilliseconds <
       wallMilliseconds;
   return {.Result = abandoned ? CommandResult::AlreadyUnknown
                               : CommandResult::InProgress};
@@ -81,13 +82,13 @@
     // The withdrawal may overtake its claim, which must not be granted when it
     // arrives afterwards.
     if (ending.Ending == ClaimEnding::NotRun)
-      place(key, {.Caller = ending.Caller,
-                  .Request = ending.Request,
-                  .Holder = ending.Holder,
-                  .Ended = true,
-                  .Ending = ClaimEnding::NotRun,
-                  .ClaimedAtMilliseconds = wallMilliseconds,
-                  .IssuedAtMilliseconds = wallMilliseconds});
+      insertClaim(key, {.Caller = ending.Caller,
+                        .Request = ending.Request,
+                        .Holder = ending.Holder,
+                        .Ended = true,
+                        .Ending = ClaimEnding::NotRun,
+                        .ClaimedAtMilliseconds = wallMilliseconds,
+                        .IssuedAtMilliseconds = wallMilliseconds});
     return {.Result = CommandResult::NotFound};
   }
   ClaimRecord &claim = it->second;
@@ -100,7 +101,7 @@
 }
 
 void ClaimLedger::restore(const ClaimRecord &record) {
-  place({record.Caller, record.Request}, record);
+  insertClaim({record.Caller, record.Request}, record);
 }
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/ClaimLedger.h
+++ b/packages/state/pimentofront/src/State/ClaimLedger.h
@@ -19,7 +19,7 @@
   std::uint64_t ClockSkewMilliseconds = 300'000;
   /// A claim whose end isn't recorded within this time counts as unknown: its
   /// holder has crashed or won't report any more.
-  std::uint64_t AbandonedMilliseconds = 120'000;
+  std::uint64_t AbandonTimeoutMilliseconds = 120'000;
 };
 
 /// \class ClaimLedger
@@ -55,17 +55,17 @@
     RequestId Request;
     friend auto operator<=>(const ClaimKey &, const ClaimKey &) = default;
   };
-  CommandOutcome answerResend(std::uint64_t wallMilliseconds,
-                              const ClaimRecord &known,
-                              const ClaimRequest &request) const;
-  void place(const ClaimKey &key, const ClaimRecord &record);
-  void forgetOld(std::uint64_t wallMilliseconds);
+  CommandOutcome outcomeOfResend(std::uint64_t wallMilliseconds,
+                                 const ClaimRecord &known,
+                                 const ClaimRequest &request) const;
+  void insertClaim(const ClaimKey &key, const ClaimRecord &record);
+  void removeExpired(std::uint64_t wallMilliseconds);
 
   ClaimLedgerOptions Options;
   std::map<ClaimKey, ClaimRecord> Claims;
   /// Claims ordered by the time at which their request was issued, for removal
   /// of expired ones.
-  std::multimap<std::uint64_t, ClaimKey> ByIssue;
+  std::multimap<std::uint64_t, ClaimKey> ByIssueTime;
 };
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/Configuration.cpp
+++ b/packages/state/pimentofront/src/State/Configuration.cpp
@@ -45,26 +45,26 @@
     const std::function<void(const ConfigurationRecord &)> &visit) const {
   // Records of all kinds but adapters are few: they are collected, sorted and
   // then merged with the adapters by revision.
-  std::vector<ConfigurationRecord> few;
+  std::vector<ConfigurationRecord> others;
   for (const auto &[name, it] : Kinds)
     if (it.ChangedAt > since)
-      few.emplace_back(it);
+      others.emplace_back(it);
   for (const auto &[host, it] : Drains)
     if (it.ChangedAt > since)
-      few.emplace_back(it);
+      others.emplace_back(it);
   for (const auto &[zone, it] : Zones)
     if (it.ChangedAt > since)
-      few.emplace_back(it);
+      others.emplace_back(it);
   if (Document && Document->ChangedAt > since)
-    few.emplace_back(*Document);
-  std::ranges::sort(few, {}, changedAt);
-  auto next = few.begin();
+    others.emplace_back(*Document);
+  std::ranges::sort(others, {}, changedAt);
+  auto next = others.begin();
   for (const AdapterStore::Changed &it : Adapters.changedSince(since)) {
-    for (; next != few.end() && changedAt(*next) < it.At; ++next)
+    for (; next != others.end() && changedAt(*next) < it.At; ++next)
       visit(*next);
-    visit(Adapters.recordAt(it.Where));
+    visit(Adapters.recordAt(it.Handle));
   }
-  for (; next != few.end(); ++next)
+  for (; next != others.end(); ++next)
     visit(*next);
 }
 
--- a/packages/state/pimentofront/src/State/ConfigurationCopy.cpp
+++ b/packages/state/pimentofront/src/State/ConfigurationCopy.cpp
@@ -7,13 +7,13 @@
 
 /// Maximum number of unanswered probes, and of confirmations that wait for
 /// their revision. Replies to older probes are ignored.
-constexpr std::size_t ProbesKept = 64;
+constexpr std::size_t MaxProbes = 64;
 
 } // namespace
 
 std::uint64_t ConfigurationCopy::beginProbe(TimePoint now) {
   Probes.push_back({++LastNonce, now});
-  if (Probes.size() > ProbesKept)
+  if (Probes.size() > MaxProbes)
     Probes.pop_front();
   return LastNonce;
 }
@@ -22,38 +22,39 @@
   const auto it = std::ranges::find(Probes, reply.Nonce, &Probe::Nonce);
   if (it == Probes.end())
     return;
-  Waiting.push_back({reply.Confirmed, it->SentAt});
+  PendingConfirmations.push_back({reply.Confirmed, it->SentAt});
   Probes.erase(Probes.begin(), it + 1);
-  if (Waiting.size() > ProbesKept)
-    Waiting.pop_front();
-  useConfirmations();
+  if (PendingConfirmations.size() > MaxProbes)
+    PendingConfirmations.pop_front();
+  applyConfirmations();
 }
 
-void ConfigurationCopy::useConfirmations() {
-  std::erase_if(Waiting, [&](const Confirmation &it) {
+void ConfigurationCopy::applyConfirmations() {
+  std::erase_if(PendingConfirmations, [&](const Confirmation &it) {
     if (it.At > Records.revision())
       return false;
-    if (!ConfirmedAt || it.AskedAt > *ConfirmedAt)
-      ConfirmedAt = it.AskedAt;
+    if (!ConfirmedAt || it.ProbeSentAt > *ConfirmedAt)
+      ConfirmedAt = it.ProbeSentAt;
     return true;
   });
 }
 
 bool ConfigurationCopy::apply(const ConfigurationUpdate &update) {
-  bool drains = false;
+  bool availabilityChanged = false;
   for (const ConfigurationRecord &it : update.Records) {
     if (changedAt(it) <= Records.revision())
       continue;
     Records.put(it);
-    drains = drains || std::holds_alternative<DrainRecord>(it) ||
-             std::holds_alternative<ZoneRecord>(it);
+    availabilityChanged = availabilityChanged ||
+                          std::holds_alternative<DrainRecord>(it) ||
+                          std::holds_alternative<ZoneRecord>(it);
   }
   // A partial update alone doesn't give the state of any revision, since a
   // record that changed twice is sent with its last change only.
   if (!update.Partial)
     Records.advance(update.UpTo);
-  useConfirmations();
-  return drains;
+  applyConfirmations();
+  return availabilityChanged;
 }
 
 Duration ConfigurationCopy::leaseLeft(TimePoint now) const {
--- a/packages/state/pimentofront/src/State/ConfigurationCopy.h
+++ b/packages/state/pimentofront/src/State/ConfigurationCopy.h
@@ -67,15 +67,15 @@
   /// A confirmation of a revision that hasn't arrived yet.
   struct Confirmation {
     Revision At = 0;
-    TimePoint AskedAt;
+    TimePoint ProbeSentAt;
   };
-  void useConfirmations();
+  void applyConfirmations();
 
   ConfigurationCopyOptions Options;
   Configuration Records;
   std::uint64_t LastNonce = 0;
   std::deque<Probe> Probes;
-  std::deque<Confirmation> Waiting;
+  std::deque<Confirmation> PendingConfirmations;
   std::optional<TimePoint> ConfirmedAt;
 };
 
--- a/packages/state/pimentofront/src/State/EvacuationOrders.cpp
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.cpp
@@ -6,7 +6,7 @@
   if (term == Term)
     return;
   Term = term;
-  TermBegan = now;
+  TermStartedAt = now;
   Zones.clear();
 }
 
@@ -16,7 +16,7 @@
                                           bool evacuated) const {
   const auto it = Zones.find(zone);
   const Zone known = it == Zones.end() ? Zone() : it->second;
-  if (known.Undecided)
+  if (known.ProposalPending)
     return EvacuationVerdict::MaybeLate;
   const ZoneRecord *present = current.findZone(zone);
   if ((present && present->Evacuated) == evacuated)
@@ -25,7 +25,7 @@
   if (!present)
     return EvacuationVerdict::New;
   const auto &last = evacuated ? known.EvacuatedAt : known.RestoredAt;
-  return now < last.value_or(TermBegan) + ResentFor
+  return now < last.value_or(TermStartedAt) + ResendWindow
              ? EvacuationVerdict::MaybeLate
              : EvacuationVerdict::New;
 }
@@ -34,7 +34,7 @@
                                  bool evacuated) {
   Zone &it = Zones[zone];
   (evacuated ? it.EvacuatedAt : it.RestoredAt) = now;
-  it.Undecided = false;
+  it.ProposalPending = false;
 }
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/EvacuationOrders.h
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.h
@@ -35,8 +35,9 @@
 /// this class, since the state machine stores their first outcome.
 class EvacuationOrders {
 public:
-  /// \param resentFor maximum time during which an order is resent.
-  explicit EvacuationOrders(Duration resentFor) : ResentFor(resentFor) {}
+  /// \param resendWindow maximum time during which an order is resent.
+  explicit EvacuationOrders(Duration resendWindow)
+      : ResendWindow(resendWindow) {}
 
   /// This process is the leader in \p term. Repeated calls have no effect.
   void lead(TimePoint now, std::uint64_t term);
@@ -47,9 +48,13 @@
                           const ZoneName &zone, bool evacuated) const;
   /// A new order was proposed to the log. Further orders on the zone wait until
   /// noteTaken() or noteNotProposed().
-  void noteProposed(const ZoneName &zone) { Zones[zone].Undecided = true; }
+  void noteProposed(const ZoneName &zone) {
+    Zones[zone].ProposalPending = true;
+  }
   /// The order couldn't be proposed.
-  void noteNotProposed(const ZoneName &zone) { Zones[zone].Undecided = false; }
+  void noteNotProposed(const ZoneName &zone) {
+    Zones[zone].ProposalPending = false;
+  }
   /// An order was applied, or was in force already and acknowledged again.
   void noteTaken(TimePoint now, const ZoneName &zone, bool evacuated);
 
@@ -59,12 +64,12 @@
     /// acknowledged in this term.
     std::optional<TimePoint> EvacuatedAt;
     std::optional<TimePoint> RestoredAt;
-    bool Undecided = false;
+    bool ProposalPending = false;
   };
 
-  Duration ResentFor;
+  Duration ResendWindow;
   std::uint64_t Term = 0;
-  TimePoint TermBegan;
+  TimePoint TermStartedAt;
   std::map<ZoneName, Zone> Zones;
 };
 
--- a/packages/state/pimentofront/src/State/MemberTable.cpp
+++ b/packages/state/pimentofront/src/State/MemberTable.cpp
@@ -7,55 +7,57 @@
 void MemberTable::beginTerm(TimePoint now, std::uint64_t term) {
   Version = {.Term = term, .Sequence = 0};
   Complete = false;
-  TermBegan = now;
+  TermStartedAt = now;
   Members.clear();
-  HeardAt.clear();
-  Counts.clear();
+  LastAnnouncedAt.clear();
+  LatestSequences.clear();
   DisplacedMembers.clear();
   Changes.clear();
 }
 
-void MemberTable::change(const MemberRecord &member) {
+void MemberTable::recordChange(const MemberRecord &member) {
   Members[member.Host] = member;
   if (member.Gone)
     Members.erase(member.Host);
   ++Version.Sequence;
   Changes.push_back(member);
-  if (Changes.size() > Options.ChangesKept)
+  if (Changes.size() > Options.MaxChanges)
     Changes.pop_front();
 }
 
-bool MemberTable::hasLeft(TimePoint now, const MemberRecord &member) const {
-  const auto it = Goodbyes.find(member.Host);
-  if (it == Goodbyes.end() || it->second.Incarnation != member.Incarnation)
+bool MemberTable::isDeregistered(TimePoint now,
+                                 const MemberRecord &member) const {
+  const auto it = Deregistrations.find(member.Host);
+  if (it == Deregistrations.end() ||
+      it->second.Incarnation != member.Incarnation)
     return false;
-  const Duration kept = it->second.Named || member.Incarnation == 0
-                            ? Options.GoodbyeKept
-                            : Options.NamelessGoodbyeKept;
-  return now < it->second.At + kept;
+  const Duration retention = it->second.NamesProcess || member.Incarnation == 0
+                                 ? Options.DeregistrationRetention
+                                 : Options.AnonymousDeregistrationRetention;
+  return now < it->second.At + retention;
 }
 
-bool MemberTable::isOldCount(const ServerProcess &process,
-                             std::uint64_t sequence) {
+bool MemberTable::isStaleSequence(const ServerProcess &process,
+                                  std::uint64_t sequence) {
   if (sequence == 0)
     return false;
-  std::uint64_t &newest = Counts[process];
-  const bool old = sequence <= newest;
+  std::uint64_t &newest = LatestSequences[process];
+  const bool stale = sequence <= newest;
   newest = std::max(newest, sequence);
-  return old;
+  return stale;
 }
 
 std::optional<TimePoint>
-MemberTable::heardOf(const ServerProcess &process) const {
+MemberTable::lastAnnouncedAt(const ServerProcess &process) const {
   const auto member = Members.find(process.Name);
-  const auto heard = HeardAt.find(process.Name);
-  if (member == Members.end() || heard == HeardAt.end() ||
+  const auto announcedAt = LastAnnouncedAt.find(process.Name);
+  if (member == Members.end() || announcedAt == LastAnnouncedAt.end() ||
       member->second.process() != process)
     return std::nullopt;
-  return heard->second;
+  return announcedAt->second;
 }
 
-bool MemberTable::hasLaterNamesake(const MemberRecord &member) const {
+bool MemberTable::hasNewerOwner(const MemberRecord &member) const {
   const auto it = Members.find(member.Host);
   return member.Registered && it != Members.end() &&
          member.process().StartedAt < it->second.process().StartedAt;
@@ -63,7 +65,7 @@
 
 bool MemberTable::isDisplaced(TimePoint now, const MemberRecord &member) {
   auto it = DisplacedMembers.find(member.process());
-  if (it == DisplacedMembers.end() && hasLaterNamesake(member)) {
+  if (it == DisplacedMembers.end() && hasNewerOwner(member)) {
     // Without a start time, it comes from another writer under that name.
     if (member.process().StartedAt == 0)
       return true;
@@ -74,74 +76,76 @@
   if (it == DisplacedMembers.end())
     return false;
   Displaced &former = it->second;
-  const std::optional<TimePoint> other = heardOf(former.By);
-  const bool lives =
-      !other ||
-      (former.CalledAt && now >= *former.CalledAt + Options.TakeBackAfter &&
-       *other < *former.CalledAt);
-  if (lives) {
+  const std::optional<TimePoint> other = lastAnnouncedAt(former.DisplacedBy);
+  const bool alive =
+      !other || (former.FirstAnnouncedAt &&
+                 now >= *former.FirstAnnouncedAt + Options.ReclaimDelay &&
+                 *other < *former.FirstAnnouncedAt);
+  if (alive) {
     DisplacedMembers.erase(it);
     return false;
   }
-  if (!former.CalledAt || *other >= *former.CalledAt)
-    former.CalledAt = now;
+  if (!former.FirstAnnouncedAt || *other >= *former.FirstAnnouncedAt)
+    former.FirstAnnouncedAt = now;
   return true;
 }
 
-void MemberTable::displaceOthers(TimePoint now, const MemberRecord &member) {
+void MemberTable::displaceFormerOwners(TimePoint now,
+                                       const MemberRecord &member) {
   if (!member.Registered)
     return;
   const ServerProcess process = member.process();
   const auto former = Members.find(member.Host);
   if (former != Members.end() && former->second.process() != process)
-    DisplacedMembers[former->second.process()] = {.By = process, .At = now};
+    DisplacedMembers[former->second.process()] = {.DisplacedBy = process,
+                                                  .At = now};
   std::vector<MemberRecord> others;
   for (const auto &[host, it] : Members)
     if (it.Registered && host != member.Host && it.Address == member.Address)
       others.push_back(it);
   for (MemberRecord &it : others) {
-    DisplacedMembers[it.process()] = {.By = process, .At = now};
-    HeardAt.erase(it.Host);
+    DisplacedMembers[it.process()] = {.DisplacedBy = process, .At = now};
+    LastAnnouncedAt.erase(it.Host);
     it.Gone = true;
-    change(it);
+    recordChange(it);
   }
 }
 
-void MemberTable::leave(TimePoint now, const MemberRecord &member) {
+void MemberTable::deregister(TimePoint now, const MemberRecord &member) {
   const auto it = Members.find(member.Host);
   const bool known = it != Members.end();
   // A deregistration without an incarnation is taken for one of the process
   // that owns the name.
-  const bool named = !member.Registered || member.Incarnation != 0;
+  const bool namesProcess = !member.Registered || member.Incarnation != 0;
   const std::uint64_t incarnation =
-      named || !known ? member.Incarnation : it->second.Incarnation;
-  Goodbyes[member.Host] = {
-      .Incarnation = incarnation, .Named = named, .At = now};
+      namesProcess || !known ? member.Incarnation : it->second.Incarnation;
+  Deregistrations[member.Host] = {
+      .Incarnation = incarnation, .NamesProcess = namesProcess, .At = now};
   // The deregistration of an earlier process of this host changes nothing.
   if (!known || it->second.Incarnation != incarnation)
     return;
-  HeardAt.erase(member.Host);
-  Counts.erase(it->second.process());
+  LastAnnouncedAt.erase(member.Host);
+  LatestSequences.erase(it->second.process());
   MemberRecord record = member;
   record.Incarnation = incarnation;
-  change(record);
+  recordChange(record);
 }
 
 bool MemberTable::announce(TimePoint now, const MemberRecord &member,
                            std::uint64_t sequence) {
   if (member.Gone) {
-    leave(now, member);
+    deregister(now, member);
     return true;
   }
-  if (hasLeft(now, member) || isOldCount(member.process(), sequence) ||
-      isDisplaced(now, member))
+  if (isDeregistered(now, member) ||
+      isStaleSequence(member.process(), sequence) || isDisplaced(now, member))
     return false;
-  HeardAt[member.Host] = now;
+  LastAnnouncedAt[member.Host] = now;
   const auto it = Members.find(member.Host);
   if (it != Members.end() && it->second == member)
     return true;
-  displaceOthers(now, member);
-  change(member);
+  displaceFormerOwners(now, member);
+  recordChange(member);
   return true;
 }
 
@@ -150,43 +154,44 @@
   const auto it = Members.find(host);
   if (it == Members.end() || it->second.Incarnation != incarnation)
     return false;
-  HeardAt[host] = now;
+  LastAnnouncedAt[host] = now;
   return true;
 }
 
 Duration MemberTable::leaseOf(const MemberRecord &member) const {
-  const bool own = member.Registered && Options.ServerLease > Duration::zero();
-  return own ? Options.ServerLease : Options.Lease;
+  const bool hasOwnLease =
+      member.Registered && Options.ServerLease > Duration::zero();
+  return hasOwnLease ? Options.ServerLease : Options.Lease;
 }
 
 std::vector<HostName> MemberTable::expire(TimePoint now) {
-  std::vector<HostName> gone;
-  for (const auto &[host, heard] : HeardAt)
-    if (heard + leaseOf(Members.at(host)) < now)
-      gone.push_back(host);
-  for (const HostName &it : gone) {
-    HeardAt.erase(it);
+  std::vector<HostName> expired;
+  for (const auto &[host, announcedAt] : LastAnnouncedAt)
+    if (announcedAt + leaseOf(Members.at(host)) < now)
+      expired.push_back(host);
+  for (const HostName &it : expired) {
+    LastAnnouncedAt.erase(it);
     MemberRecord record = Members.at(it);
     record.Gone = true;
-    change(record);
+    recordChange(record);
   }
-  const auto isForgotten = [&](const auto &it) {
-    return it.second.At + Options.GoodbyeKept < now;
+  const auto isExpired = [&](const auto &it) {
+    return it.second.At + Options.DeregistrationRetention < now;
   };
-  std::erase_if(Goodbyes, isForgotten);
-  std::erase_if(DisplacedMembers, isForgotten);
+  std::erase_if(Deregistrations, isExpired);
+  std::erase_if(DisplacedMembers, isExpired);
   // Drop the sequences of processes that neither are in the table nor may get
   // their address or name back.
-  std::erase_if(Counts, [&](const auto &it) {
-    return !heardOf(it.first) && !DisplacedMembers.contains(it.first);
+  std::erase_if(LatestSequences, [&](const auto &it) {
+    return !lastAnnouncedAt(it.first) && !DisplacedMembers.contains(it.first);
   });
-  const Duration longest = std::max(Options.Lease, Options.ServerLease);
-  if (!Complete && now >= TermBegan + longest) {
+  const Duration maxLease = std::max(Options.Lease, Options.ServerLease);
+  if (!Complete && now >= TermStartedAt + maxLease) {
     Complete = true;
     ++Version.Sequence; // Sends `Complete` to all receivers, without a record.
     Changes.clear();
   }
-  return gone;
+  return expired;
 }
 
 std::optional<MemberUpdate>
@@ -226,7 +231,7 @@
   }
   if (update.To.Sequence - update.From.Sequence != update.Members.size())
     Changes.clear();
-  while (Changes.size() > Options.ChangesKept)
+  while (Changes.size() > Options.MaxChanges)
     Changes.pop_front();
   Version = update.To;
   Complete = update.Complete;
--- a/packages/state/pimentofront/src/State/MemberTable.h
+++ b/packages/state/pimentofront/src/State/MemberTable.h
@@ -19,20 +19,20 @@
   /// itself at an interval of its own. Zero: the same lease as for hosts.
   Duration ServerLease = Duration::zero();
   /// Recent changes stored, to send differences to receivers that missed some.
-  std::size_t ChangesKept = 1024;
+  std::size_t MaxChanges = 1024;
   /// How long a deregistration is stored, to reject late announcements of the
   /// process.
-  Duration GoodbyeKept = std::chrono::seconds(60);
+  Duration DeregistrationRetention = std::chrono::seconds(60);
   /// The same for a deregistration that contains only the name, not the
   /// process. It may come from a former process of that name, in which case the
   /// running one is out of use for this time. Shorter, since announcements
   /// arrive seconds late, not tens of seconds.
-  Duration NamelessGoodbyeKept = std::chrono::seconds(15);
+  Duration AnonymousDeregistrationRetention = std::chrono::seconds(15);
   /// A displaced process gets its address or name back when it announces itself
   /// twice, at least this far apart, and the other process doesn't announce
   /// itself in between. The minimum distance excludes late announcements, which
   /// arrive close together.
-  Duration TakeBackAfter = std::chrono::milliseconds(500);
+  Duration ReclaimDelay = std::chrono::milliseconds(500);
 };
 
 /// \class MemberTable
@@ -96,53 +96,53 @@
   const std::map<HostName, MemberRecord> &members() const { return Members; }
 
 private:
-  struct Goodbye {
+  struct Deregistration {
     /// Of the process that left; 0 if the deregistration had no incarnation and
     /// the name was unknown.
     std::uint64_t Incarnation = 0;
     /// Whether the deregistration identified the process, not only its name.
-    bool Named = false;
+    bool NamesProcess = false;
     TimePoint At;
   };
   /// A process whose address or name another process has taken over.
   struct Displaced {
-    ServerProcess By;
+    ServerProcess DisplacedBy;
     TimePoint At;
     /// Its first announcement since the other process last announced itself.
-    std::optional<TimePoint> CalledAt;
+    std::optional<TimePoint> FirstAnnouncedAt;
   };
   Duration leaseOf(const MemberRecord &member) const;
-  void change(const MemberRecord &member);
+  void recordChange(const MemberRecord &member);
   /// Records the deregistration of a host or of a process.
-  void leave(TimePoint now, const MemberRecord &member);
+  void deregister(TimePoint now, const MemberRecord &member);
   /// \returns whether the name of \p member belongs to a process that reports a
   /// later start.
-  bool hasLaterNamesake(const MemberRecord &member) const;
+  bool hasNewerOwner(const MemberRecord &member) const;
   /// \returns whether the process of \p member has deregistered recently.
-  bool hasLeft(TimePoint now, const MemberRecord &member) const;
+  bool isDeregistered(TimePoint now, const MemberRecord &member) const;
   /// Updates the latest sequence of \p process.
   /// \returns whether an announcement with \p sequence is stale.
-  bool isOldCount(const ServerProcess &process, std::uint64_t sequence);
+  bool isStaleSequence(const ServerProcess &process, std::uint64_t sequence);
   /// \returns when \p process last announced itself; nothing if it isn't in the
   /// table.
-  std::optional<TimePoint> heardOf(const ServerProcess &process) const;
+  std::optional<TimePoint> lastAnnouncedAt(const ServerProcess &process) const;
   /// \returns whether another process has taken over the address or name of
   /// \p member, and this announcement doesn't prove that \p member is the
   /// running process of the two.
   bool isDisplaced(TimePoint now, const MemberRecord &member);
   /// Marks the former owners of the name and the address of \p member as
   /// displaced, and removes those with another name.
-  void displaceOthers(TimePoint now, const MemberRecord &member);
+  void displaceFormerOwners(TimePoint now, const MemberRecord &member);
 
   MemberTableOptions Options;
   MemberVersion Version;
   bool Complete = false;
-  TimePoint TermBegan;
+  TimePoint TermStartedAt;
   std::map<HostName, MemberRecord> Members;
-  std::map<HostName, TimePoint> HeardAt;
+  std::map<HostName, TimePoint> LastAnnouncedAt;
   /// The highest sequence that each process has announced.
-  std::map<ServerProcess, std::uint64_t> Counts;
-  std::map<HostName, Goodbye> Goodbyes;
+  std::map<ServerProcess, std::uint64_t> LatestSequences;
+  std::map<HostName, Deregistration> Deregistrations;
   std::map<ServerProcess, Displaced> DisplacedMembers;
   /// The most recent changes; the newest has the sequence of `Version`.
   std::deque<MemberRecord> Changes;
--- a/packages/state/pimentofront/src/State/QuarantineLedger.cpp
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.cpp
@@ -7,10 +7,10 @@
 
 /// Server crashes stored per request: those that decide on the quarantine, and
 /// a few whose reports were under way at that time.
-constexpr std::size_t EndsKept = 8;
+constexpr std::size_t MaxStoredExits = 8;
 
-const ServerEnd *findEnd(const QuarantineRecord &record,
-                         const ServerProcess &server) {
+const ServerEnd *findExit(const QuarantineRecord &record,
+                          const ServerProcess &server) {
   const auto it = std::ranges::find_if(record.Ends, [&](const ServerEnd &end) {
     return maybeSame(end.Server, server);
   });
@@ -30,7 +30,7 @@
   return it == Records.end() ? nullptr : &it->second;
 }
 
-void QuarantineLedger::change(QuarantineRecord &record) {
+void QuarantineLedger::markChanged(QuarantineRecord &record) {
   record.ChangedAt = ++Version;
 }
 
@@ -38,15 +38,15 @@
   if (Records.erase(content) == 0)
     return;
   Removals.push_back({content, ++Version});
-  if (Removals.size() <= Options.RemovalsKept)
+  if (Removals.size() <= Options.MaxRemovals)
     return;
-  RemovalsForgotten = Removals.front().At;
+  DroppedRemovalsVersion = Removals.front().At;
   Removals.pop_front();
 }
 
 /// At full capacity, removes the watched request whose last change is the
 /// oldest, or a quarantined one if there is no watched one.
-void QuarantineLedger::makeRoom() {
+void QuarantineLedger::evictOldest() {
   if (Records.size() < Options.Capacity)
     return;
   const auto rank = [](const auto &it) {
@@ -62,7 +62,7 @@
 
 CommandOutcome QuarantineLedger::report(const ReportServerEnd &end) {
   for (const RequestAtWork &it : end.AtWork)
-    add(end.Server, it);
+    addExit(end.Server, it);
   return {.At = Version};
 }
 
@@ -73,60 +73,61 @@
 /// the entry didn't know yet, so it counts as another crash. Before this rule,
 /// twelve servers crashed in place of five where processes keep their names and
 /// restart within some hundred milliseconds.
-bool QuarantineLedger::isKnownEnd(const QuarantineRecord &record,
-                                  const ServerProcess &server, bool tried) {
-  const ServerEnd *end = findEnd(record, server);
-  const bool before =
+bool QuarantineLedger::isKnownExit(const QuarantineRecord &record,
+                                   const ServerProcess &server, bool tried) {
+  const ServerEnd *end = findExit(record, server);
+  const bool beforeTrial =
       end && end - record.Ends.data() <
                  static_cast<std::ptrdiff_t>(record.EndsAtGrant);
-  return end && !(tried && before);
+  return end && !(tried && beforeTrial);
 }
 
-void QuarantineLedger::add(const ServerProcess &server,
-                           const RequestAtWork &request) {
+void QuarantineLedger::addExit(const ServerProcess &server,
+                               const RequestAtWork &request) {
   if (!Records.contains(request.Content))
-    makeRoom();
+    evictOldest();
   QuarantineRecord &record = Records[request.Content];
   record.Content = request.Content;
   const bool tried =
       request.Holder != AttemptId() && record.Holder == request.Holder;
-  const bool isNew = !isKnownEnd(record, server, tried);
+  const bool isNew = !isKnownExit(record, server, tried);
   if (tried)
     record.Holder = AttemptId();
-  if (isNew && record.Ends.size() < EndsKept)
+  if (isNew && record.Ends.size() < MaxStoredExits)
     record.Ends.push_back({server, request.Answering});
   // It was released from quarantine for a trial and has crashed another server.
   if (isNew && record.Quarantines > 0 && !record.Quarantined)
     return putInQuarantine(record);
-  change(record);
+  markChanged(record);
 }
 
-bool QuarantineLedger::isAlone(const QuarantineRecord &record,
-                               const ServerEnd &end) const {
+bool QuarantineLedger::isSoleSuspect(const QuarantineRecord &record,
+                                     const ServerEnd &end) const {
   if (end.Answering)
     return false;
   return std::ranges::none_of(Records, [&](const auto &it) {
-    const ServerEnd *other = findEnd(it.second, end.Server);
+    const ServerEnd *other = findExit(it.second, end.Server);
     return it.first != record.Content && other && !other->Answering;
   });
 }
 
-bool QuarantineLedger::isGuilty(const QuarantineRecord &record) const {
-  if (record.LateTrials >= Options.MostLateTrials)
+bool QuarantineLedger::shouldQuarantine(const QuarantineRecord &record) const {
+  if (record.LateTrials >= Options.MaxLateTrials)
     return true;
-  if (record.Quarantines > 0 || record.Ends.size() < Options.EndsToQuarantine)
+  if (record.Quarantines > 0 || record.Ends.size() < Options.ExitsToQuarantine)
     return false;
-  if (record.Ends.size() >= Options.MostEnds)
+  if (record.Ends.size() >= Options.MaxExits)
     return true;
-  return std::ranges::any_of(
-      record.Ends, [&](const ServerEnd &it) { return isAlone(record, it); });
+  return std::ranges::any_of(record.Ends, [&](const ServerEnd &it) {
+    return isSoleSuspect(record, it);
+  });
 }
 
 void QuarantineLedger::putInQuarantine(QuarantineRecord &record) {
   record.Quarantined = true;
   record.Holder = AttemptId();
   ++record.Quarantines;
-  change(record);
+  markChanged(record);
 }
 
 //===----------------------------------------------------------------------===//
@@ -140,7 +141,7 @@
   QuarantineRecord &record = it->second;
   if (record.Holder != AttemptId() && record.Holder != trial.Holder)
     return {.Result = CommandResult::InProgress, .At = Version};
-  if (!record.Quarantined && isGuilty(record))
+  if (!record.Quarantined && shouldQuarantine(record))
     putInQuarantine(record);
   if (record.Quarantined)
     return {.Result = CommandResult::Quarantined, .At = Version};
@@ -150,7 +151,7 @@
   record.Holder = trial.Holder;
   record.HeldFor = trial.HeldFor;
   record.EndsAtGrant = static_cast<std::uint32_t>(record.Ends.size());
-  const bool late = record.Ends.size() >= Options.EndsToQuarantine;
+  const bool late = record.Ends.size() >= Options.ExitsToQuarantine;
   if (isNew && late)
     ++record.LateTrials;
   return {.At = Version};
@@ -190,7 +191,7 @@
       // The servers may have been repaired: allow one trial.
       record.Quarantined = false;
       record.LateTrials = 0;
-      change(record);
+      markChanged(record);
     } else {
       remove(due.Content);
     }
@@ -215,7 +216,8 @@
 QuarantineLedger::updateSince(std::uint64_t known) const {
   if (known >= Version)
     return std::nullopt;
-  QuarantineUpdate update{.Full = known < RemovalsForgotten, .To = Version};
+  QuarantineUpdate update{.Full = known < DroppedRemovalsVersion,
+                          .To = Version};
   for (const auto &[content, it] : Records)
     if (update.Full || it.ChangedAt > known)
       update.Notices.push_back({content, stateOf(it)});
@@ -233,7 +235,7 @@
 
 void QuarantineLedger::restoreVersion(std::uint64_t version) {
   Version = version;
-  RemovalsForgotten = version;
+  DroppedRemovalsVersion = version;
 }
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/QuarantineLedger.h
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.h
@@ -16,19 +16,20 @@
 struct QuarantineLedgerOptions {
   /// Server crashes after which a request may be put in quarantine, provided
   /// that it is the only suspect in one of them.
-  std::size_t EndsToQuarantine = 3;
+  std::size_t ExitsToQuarantine = 3;
   /// Server crashes after which a request is put in quarantine regardless of
   /// other suspects. Bounds the crashes per request also where it always ran
   /// together with the same other requests.
-  std::size_t MostEnds = 5;
-  /// Trials granted after EndsToQuarantine crashes, as far as they aren't known
-  /// not to have run. A request that has had this many is put in quarantine.
-  std::uint32_t MostLateTrials = 2;
+  std::size_t MaxExits = 5;
+  /// Trials granted after ExitsToQuarantine crashes, as far as they aren't
+  /// known not to have run. A request that has had this many is put in
+  /// quarantine.
+  std::uint32_t MaxLateTrials = 2;
   /// Maximum number of records, of some 200 bytes each. A server crash adds up
   /// to a batch of them, most of which are removed within a second.
   std::size_t Capacity = 4096;
   /// Recent removals stored; a receiver that missed more gets the whole ledger.
-  std::size_t RemovalsKept = 4096;
+  std::size_t MaxRemovals = 4096;
 };
 
 /// \class QuarantineLedger
@@ -40,14 +41,14 @@
 /// although usually one caused the crash. Each of them becomes *watched*: only
 /// one attempt at a time may run in the whole fleet, and the first server that
 /// survives the request clears it. A request goes into *quarantine* when
-/// EndsToQuarantine processes have crashed while running it and in one of these
-/// crashes it is the only suspect: no other request that is still watched or
-/// quarantined was waiting there for its first event. Unaffected requests are
-/// cleared one by one, until those that remain explain the crashes (adaptive
-/// group testing, Dorfman, 1943).
+/// ExitsToQuarantine processes have crashed while running it and in one of
+/// these crashes it is the only suspect: no other request that is still watched
+/// or quarantined was waiting there for its first event. Unaffected requests
+/// are cleared one by one, until those that remain explain the crashes
+/// (adaptive group testing, Dorfman, 1943).
 ///
 /// Invariant: once a request is watched, at most one attempt runs it at a time;
-/// after EndsToQuarantine crashes, at most MostLateTrials further trials are
+/// after ExitsToQuarantine crashes, at most MaxLateTrials further trials are
 /// granted whose outcome stays unclear. The ledger uses no clock: the leader
 /// decides when a record has been unchanged for long enough, see
 /// QuarantineReview.
@@ -76,17 +77,18 @@
   void restoreVersion(std::uint64_t version);
 
 private:
-  void add(const ServerProcess &server, const RequestAtWork &request);
-  static bool isKnownEnd(const QuarantineRecord &record,
-                         const ServerProcess &server, bool tried);
-  void change(QuarantineRecord &record);
+  void addExit(const ServerProcess &server, const RequestAtWork &request);
+  static bool isKnownExit(const QuarantineRecord &record,
+                          const ServerProcess &server, bool tried);
+  void markChanged(QuarantineRecord &record);
   void remove(const ContentHash &content);
-  void makeRoom();
+  void evictOldest();
   void putInQuarantine(QuarantineRecord &record);
-  bool isGuilty(const QuarantineRecord &record) const;
+  bool shouldQuarantine(const QuarantineRecord &record) const;
   /// \returns whether \p record is the only suspect in the crash \p end: it was
   /// waiting for its first event then, and no other recorded request was.
-  bool isAlone(const QuarantineRecord &record, const ServerEnd &end) const;
+  bool isSoleSuspect(const QuarantineRecord &record,
+                     const ServerEnd &end) const;
 
   QuarantineLedgerOptions Options;
   std::map<ContentHash, QuarantineRecord> Records;
@@ -97,7 +99,7 @@
   };
   std::deque<Removal> Removals;
   /// Removals up to this version aren't stored any more.
-  std::uint64_t RemovalsForgotten = 0;
+  std::uint64_t DroppedRemovalsVersion = 0;
 };
 
 /// \returns the state of \p record that entries receive.
--- a/packages/state/pimentofront/src/State/QuarantineReview.h
+++ b/packages/state/pimentofront/src/State/QuarantineReview.h
@@ -10,11 +10,11 @@
 struct QuarantineReviewOptions {
   /// How long the record of a watched request is stored without a change.
   /// Callers retry within seconds, operators' scripts within a minute.
-  Duration WatchedKept = std::chrono::minutes(1);
+  Duration WatchRetention = std::chrono::minutes(1);
   /// How long a request stays in quarantine before it gets one trial; by then
   /// the servers may have been repaired or replaced. Doubles with each further
   /// quarantine, up to 16 times.
-  Duration QuarantineKept = std::chrono::minutes(10);
+  Duration QuarantineDuration = std::chrono::minutes(10);
   /// Added to the duration of a trial for the delay of the report that it has
   /// ended.
   Duration TrialGrace = std::chrono::seconds(1);
@@ -40,18 +40,18 @@
   /// since the last review.
   ReviewQuarantine take(TimePoint now, const QuarantineLedger &ledger);
   /// Starts all times anew, after another replica has led.
-  void reset() { Seen.clear(); }
+  void reset() { Observations.clear(); }
 
 private:
-  struct Sight {
+  struct Observation {
     DueRecord Record;
     TimePoint Since;
   };
-  Duration limitOf(const QuarantineRecord &record) const;
+  Duration retentionOf(const QuarantineRecord &record) const;
 
   QuarantineReviewOptions Options;
   TimePoint NextAt;
-  std::map<ContentHash, Sight> Seen;
+  std::map<ContentHash, Observation> Observations;
 };
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/StateMachine.cpp
+++ b/packages/state/pimentofront/src/State/StateMachine.cpp
@@ -8,7 +8,7 @@
 
 /// Outcomes stored to answer resent commands: several weeks' worth at the
 /// expected rate of commands.
-constexpr std::size_t OutcomesKept = 20000;
+constexpr std::size_t MaxOutcomes = 20000;
 constexpr std::size_t MaxNameBytes = 128;
 constexpr std::size_t MaxSourceBytes = 1024;
 constexpr std::size_t MaxVersions = 64;
@@ -67,14 +67,14 @@
                   "the command id was used with other contents");
   }
   const CommandOutcome outcome = applyBody(wallMilliseconds, command);
-  remember({command.Id, hash, outcome, wallMilliseconds});
+  recordOutcome({command.Id, hash, outcome, wallMilliseconds});
   return outcome;
 }
 
-void StateMachine::remember(const OutcomeRecord &record) {
+void StateMachine::recordOutcome(const OutcomeRecord &record) {
   Outcomes.emplace(record.Id, record);
   OutcomeOrder.push_back(record.Id);
-  if (OutcomeOrder.size() <= OutcomesKept)
+  if (OutcomeOrder.size() <= MaxOutcomes)
     return;
   Outcomes.erase(OutcomeOrder.front());
   OutcomeOrder.pop_front();
@@ -90,11 +90,11 @@
   if (const auto *it = std::get_if<RecordEnding>(&body))
     return Claims.end(wallMilliseconds, *it);
   if (const auto *it = std::get_if<CreateAdapter>(&body))
-    return create(command, *it);
+    return createAdapter(command, *it);
   if (const auto *it = std::get_if<CreateVersion>(&body))
     return addVersion(command, *it);
   if (const auto *it = std::get_if<DeclareLive>(&body))
-    return declare(command, *it);
+    return declareLive(command, *it);
   if (const auto *it = std::get_if<SetKind>(&body))
     return setKind(command, *it);
   if (const auto *it = std::get_if<PutDocument>(&body))
@@ -121,8 +121,8 @@
   return std::nullopt;
 }
 
-CommandOutcome StateMachine::create(const Command &command,
-                                    const CreateAdapter &body) {
+CommandOutcome StateMachine::createAdapter(const Command &command,
+                                           const CreateAdapter &body) {
   if (!isProperName(body.Adapter.str()) || !isProperName(body.BaseModel))
     return refuse(CommandResult::Invalid, NameRule);
   if (const auto existing = Records.findAdapter(body.Adapter))
@@ -152,8 +152,8 @@
   return accept(command, std::move(*adapter));
 }
 
-CommandOutcome StateMachine::declare(const Command &command,
-                                     const DeclareLive &body) {
+CommandOutcome StateMachine::declareLive(const Command &command,
+                                         const DeclareLive &body) {
   auto adapter = Records.findAdapter(body.Adapter);
   if (!adapter)
     return refuse(CommandResult::NotFound, "no such adapter");
@@ -173,12 +173,12 @@
 CommandOutcome StateMachine::setKind(const Command &command,
                                      const SetKind &body) {
   constexpr std::uint32_t MaxWeight = 1000;
-  constexpr Duration LongestWindow = std::chrono::hours(1);
+  constexpr Duration MaxWindow = std::chrono::hours(1);
   const KindRecord &kind = body.Record;
   if (!isProperName(kind.Name.str()))
     return refuse(CommandResult::Invalid, NameRule);
   if (kind.Weight < 1 || kind.Weight > MaxWeight ||
-      kind.Window <= Duration::zero() || kind.Window > LongestWindow)
+      kind.Window <= Duration::zero() || kind.Window > MaxWindow)
     return refuse(CommandResult::Invalid,
                   "weight is from 1 to 1000, window up to an hour");
   const KindRecord *existing = Records.findKind(kind.Name);
@@ -278,7 +278,7 @@
   else if (const auto *claim = std::get_if<ClaimRecord>(&item))
     Claims.restore(*claim);
   else if (const auto *outcome = std::get_if<OutcomeRecord>(&item))
-    remember(*outcome);
+    recordOutcome(*outcome);
   else if (const auto *adapter = std::get_if<AdapterRecord>(&item))
     Records.put(*adapter);
   else if (const auto *kind = std::get_if<KindRecord>(&item))
--- a/packages/state/pimentofront/src/State/StateMachine.h
+++ b/packages/state/pimentofront/src/State/StateMachine.h
@@ -40,9 +40,10 @@
 private:
   CommandOutcome applyBody(std::uint64_t wallMilliseconds,
                            const Command &command);
-  CommandOutcome create(const Command &command, const CreateAdapter &body);
+  CommandOutcome createAdapter(const Command &command,
+                               const CreateAdapter &body);
   CommandOutcome addVersion(const Command &command, const CreateVersion &body);
-  CommandOutcome declare(const Command &command, const DeclareLive &body);
+  CommandOutcome declareLive(const Command &command, const DeclareLive &body);
   CommandOutcome setKind(const Command &command, const SetKind &body);
   CommandOutcome setDrained(const Command &command, const SetDrained &body);
   CommandOutcome evacuate(const Command &command, const EvacuateZone &body);
@@ -56,7 +57,7 @@
   /// \returns the outcome if \p body is a command for the quarantine ledger,
   /// else nothing.
   std::optional<CommandOutcome> applyQuarantine(const CommandBody &body);
-  void remember(const OutcomeRecord &record);
+  void recordOutcome(const OutcomeRecord &record);
   void restoreItem(const StateItem &item);
 
   ClaimLedgerOptions Options;
--- a/test/EvacuationTest.cpp
+++ b/test/EvacuationTest.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr TimePoint Now{100s};
-constexpr Duration ResentFor = 6s;
+constexpr Duration ResendWindow = 6s;
 const ZoneName Zone("z1");
 
 Configuration withZone(bool evacuated) {
@@ -29,7 +29,7 @@
 
 TEST_CASE("an order is new, in force, or possibly a late resend",
           "[evacuation-order]") {
-  EvacuationOrders orders(ResentFor);
+  EvacuationOrders orders(ResendWindow);
   orders.lead(Now, 1);
   const Configuration none;
   CHECK(orders.judge(Now, none, Zone, true) == EvacuationVerdict::New);
@@ -47,13 +47,13 @@
   // A former leader may have acknowledged an opposite order that changed
   // nothing.
   CHECK(orders.judge(Now, away, Zone, false) == EvacuationVerdict::MaybeLate);
-  CHECK(orders.judge(Now + ResentFor, away, Zone, false) ==
+  CHECK(orders.judge(Now + ResendWindow, away, Zone, false) ==
         EvacuationVerdict::New);
 }
 
 TEST_CASE("the resend time counts from the last acknowledgement",
           "[evacuation-order]") {
-  EvacuationOrders orders(ResentFor);
+  EvacuationOrders orders(ResendWindow);
   orders.lead(Now, 1);
   orders.noteTaken(Now + 10s, Zone, true);
   const Configuration back = withZone(false);
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -155,7 +155,8 @@
 
 TEST_CASE("a quarantine ends with one trial, since servers may be repaired") {
   LedgerUnderTest it;
-  QuarantineReview review({.WatchedKept = 1min, .QuarantineKept = 10min});
+  QuarantineReview review(
+      {.WatchRetention = 1min, .QuarantineDuration = 10min});
   for (const char *name : {"s1", "s2", "s3"})
     it.end(server(name), {1});
   REQUIRE(it.claim(1) == Quarantined);
@@ -191,7 +192,7 @@
 TEST_CASE("a watched request that nobody resends is removed, also after a lost "
           "trial") {
   LedgerUnderTest it;
-  QuarantineReview review({.WatchedKept = 1min});
+  QuarantineReview review({.WatchRetention = 1min});
   it.end(server("s1"), {1, 2});
   REQUIRE(it.claim(1) == Granted);
   const auto pass = [&](TimePoint at) {
@@ -209,7 +210,7 @@
 
 TEST_CASE("time in which the host is suspended counts for a review") {
   LedgerUnderTest it;
-  QuarantineReview review({.WatchedKept = 1min});
+  QuarantineReview review({.WatchRetention = 1min});
   it.end(server("s1"), {1});
   review.take(Now, it.Ledger);
   // Only the boot clock counts the hour of suspension.
@@ -228,7 +229,7 @@
 
 TEST_CASE(
     "entries receive changes, or the whole ledger if they missed removals") {
-  QuarantineLedger ledger({.RemovalsKept = 2});
+  QuarantineLedger ledger({.MaxRemovals = 2});
   const auto report = [&](std::uint64_t n) {
     ledger.report({server("s1"), {{content(n), false, {}}}});
   };
--- a/test/StateTest.cpp
+++ b/test/StateTest.cpp
@@ -162,7 +162,7 @@
   CHECK_FALSE(store.find(AdapterName("adapter-5000")));
   const auto changed = store.changedSince(14'990);
   REQUIRE(changed.size() == 10);
-  CHECK(store.recordAt(changed[9].Where).Name == AdapterName("adapter-4999"));
+  CHECK(store.recordAt(changed[9].Handle).Name == AdapterName("adapter-4999"));
 }
 
 TEST_CASE("a copy is confirmed only for a lease from when its probe was sent") {
@@ -196,7 +196,7 @@
 }
 
 TEST_CASE("a follower applies changes of members and detects missing ones") {
-  MemberTable leader({.Lease = 6s, .ChangesKept = 4});
+  MemberTable leader({.Lease = 6s, .MaxChanges = 4});
   MemberTable follower;
   const TimePoint now{100s};
   leader.beginTerm(now, 2);
