--- a/doc/ReplicatedLogExample.cpp
+++ b/doc/ReplicatedLogExample.cpp
@@ -1,8 +1,8 @@
 //===- ReplicatedLogExample.cpp - Embedding the replicated log --*- C++ -*-===//
 ///
-/// The shell around a ReplicatedLog, at its smallest: a group of one replica
-/// that keeps its log in a folder. The order of the steps is what matters:
-/// write and sync, report it, send, and only then apply.
+/// A minimal program around a ReplicatedLog: a group of one replica that stores
+/// its log in a folder. The order of the steps matters: write and sync, report
+/// the sync, send messages, and only then apply committed entries.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
   const std::string folder = std::filesystem::temp_directory_path().string() +
                              "/pimentofront-example-log";
   std::filesystem::remove_all(folder);
-  constexpr ReplicaId NewIdentity = 42; // Draw a random one.
+  constexpr ReplicaId NewIdentity = 42; // Use a random number here.
   auto store = FileLogStore::open(folder, NewIdentity);
   if (!store)
     return EXIT_FAILURE;
@@ -33,9 +33,9 @@
   for (int turn = 0; turn < 3; ++turn) {
     const LogActions actions = log.takeActions();
     if (!(*store)->write(actions.Write))
-      return EXIT_FAILURE; // Nothing of this batch may be promised.
+      return EXIT_FAILURE; // Nothing of this batch may be acknowledged.
     log.synced(now);
-    // Here actions.Messages would go out to the other replicas.
+    // Here actions.Messages would be sent to the other replicas.
     for (const LogEntry &it : actions.Committed) {
       std::printf("entry %llu: %s\n", static_cast<unsigned long long>(it.Index),
                   it.Data.c_str());
--- a/packages/consensus/pimentofront/Consensus.h
+++ b/packages/consensus/pimentofront/Consensus.h
@@ -2,10 +2,10 @@
 ///
 /// \file
 /// \defgroup Consensus Consensus
-/// A log that a group of replicas agrees on, after Raft (Ongaro, 2014), with
-/// pre-vote, check-quorum, a leader lease for reads, learners, one change of
-/// members at a time, and identities of disks. ReplicatedLog decides and
-/// performs no I/O; FileLogStore keeps what must survive.
+/// A replicated log after Raft (Ongaro, 2014), with pre-vote, check-quorum, a
+/// leader lease for reads, learners, membership changes of one replica at a
+/// time, and disk identities. ReplicatedLog implements the protocol without
+/// I/O; FileLogStore persists the log.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_CONSENSUS_H
--- a/packages/consensus/pimentofront/src/Consensus/Election.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/Election.cpp
@@ -1,4 +1,4 @@
-//===- Election.cpp - Who leads, and until when -----------------*- C++ -*-===//
+//===- Election.cpp - Elections and the leader's lease ----------*- C++ -*-===//
 
 #include "pimentofront/Consensus.h"
 
@@ -48,7 +48,7 @@
   for (const ReplicaDescriptor &it : Group.Replicas)
     if (it.Id != Id && !it.Learner)
       sendTo(it, request);
-  // A group of one has all its votes.
+  // The only voter has a majority with its own vote.
   if (voterCount() == 1)
     onVoteReply(now, 0,
                 {.From = Id,
@@ -66,7 +66,8 @@
 }
 
 void ReplicatedLog::onVoteRequest(TimePoint now, const VoteRequest &request) {
-  // The leader's lease stands on this: no vote while it may still count on us.
+  // The leader's lease depends on this: no vote is granted while the leader may
+  // still count this replica in its quorum.
   const bool leaderAlive =
       Role == LogRole::Leader
           ? quorumHeardAt() + Options.ElectionTimeout >= now
@@ -116,7 +117,8 @@
   if (!reply.Granted)
     return;
   Votes.insert(reply.From);
-  // Its own vote counts, too, so its own promise has to have ended.
+  // The candidate's own vote counts, too, so its own acknowledgement of an
+  // earlier lease must have expired.
   const bool mayCount = !Probing || now >= NoVoteBefore;
   if (Votes.size() < quorum() || !mayCount)
     return;
@@ -134,7 +136,8 @@
   for (const ReplicaDescriptor &it : Group.Replicas)
     if (it.Id != Id)
       Followers[it.Id] = {.Next = lastIndex() + 1, .HeardAt = now};
-  // What earlier terms left is committed by an entry of this one.
+  // Entries of earlier terms are committed indirectly, by an entry of this
+  // term.
   LeaderFrom = lastIndex() + 1;
   append({.EntryTerm = Vote.Current,
           .Index = LeaderFrom,
@@ -143,7 +146,7 @@
   replicateAll(now);
 }
 
-/// \returns the latest time for which a quorum, this replica included, has
+/// \returns the latest time such that a quorum, including this replica, has
 /// answered a round that was sent then or later.
 TimePoint ReplicatedLog::quorumHeardSince() const {
   std::vector<TimePoint> times;
@@ -162,7 +165,8 @@
   return times[quorum() - 1];
 }
 
-/// \returns when a quorum was heard of last.
+/// \returns the latest time such that a quorum, including this replica, has
+/// replied then or later.
 TimePoint ReplicatedLog::quorumHeardAt() const {
   std::vector<TimePoint> times;
   for (const ReplicaDescriptor &it : Group.Replicas) {
--- a/packages/consensus/pimentofront/src/Consensus/FileLogStore.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/FileLogStore.cpp
@@ -10,7 +10,7 @@
 namespace pimentofront {
 namespace {
 
-/// Header of each record: length of the payload, then its checksum.
+/// Header of each record, with the payload's length in bytes and its checksum.
 struct RecordHeader {
   std::uint32_t Size = 0;
   std::uint32_t Reserved = 0;
@@ -31,7 +31,8 @@
   return record;
 }
 
-/// \returns the payload of the record at \p at, if it is sound.
+/// \returns the payload of the record at offset \p at, if the record is
+/// complete and its checksum matches.
 std::optional<std::string_view> readRecord(std::string_view bytes,
                                            std::size_t at) {
   RecordHeader header;
@@ -48,7 +49,7 @@
   return payload;
 }
 
-/// \returns whether any sound record begins after \p at.
+/// \returns whether a valid record begins anywhere after offset \p at.
 bool hasRecordAfter(std::string_view bytes, std::size_t at) {
   for (std::size_t i = at + 1; i + sizeof(RecordHeader) < bytes.size(); ++i)
     if (readRecord(bytes, i))
@@ -186,13 +187,13 @@
     if (!payload && hasRecordAfter(bytes, at))
       return tl::unexpected(corrupt("log"));
     if (!payload)
-      break; // A torn tail.
+      break; // A torn write at the end.
     const auto entry = decodeEntry(*payload);
     if (!entry)
       return tl::unexpected(LogStoreError{LogStoreError::Kind::TooNew,
                                           "log: " + entry.error().Reason});
-    // The file may begin before the snapshot, when the crash came between the
-    // snapshot and the cut.
+    // After a crash between writing the snapshot and rewriting the log, the
+    // file still has the entries that the snapshot covers.
     if (entry->Index >= FirstIndex) {
       if (entry->Index != FirstIndex + Stored.Entries.size())
         return tl::unexpected(corrupt("log"));
@@ -219,7 +220,7 @@
                       .Index = snapshot.LastIndex,
                       .Kind = EntryKind::Group,
                       .Data = encodeGroup(snapshot.Group)};
-  // The state may be empty; a record may not.
+  // The state may be empty, but a record may not, so one byte precedes it.
   constexpr char StateMark = 1;
   return replaceFile("snapshot", frameRecord(encodeEntry(head)) +
                                      frameRecord(StateMark + snapshot.state()));
--- a/packages/consensus/pimentofront/src/Consensus/FileLogStore.h
+++ b/packages/consensus/pimentofront/src/Consensus/FileLogStore.h
@@ -9,21 +9,24 @@
 
 /// \class FileLogStore
 /// \ingroup Consensus
-/// \brief A log in the files of one data folder: `identity`, `ballot`,
-/// `snapshot` (each replaced as a whole) and `log` (appended to).
+/// \brief A log store in one data folder with the files `identity`, `ballot`
+/// and `snapshot`, each of which is replaced atomically, and `log`, which is
+/// appended to.
 ///
-/// Each record carries its length and a checksum. A damaged record with
-/// nothing sound behind it is a write that the crash tore: it was never
-/// acknowledged, and is cut off. One with sound records behind it is damage:
+/// Each record has its length and a checksum. An invalid record without a valid
+/// one after it is a write that a crash interrupted: it was never acknowledged,
+/// and is truncated. An invalid record with a valid one after it is corruption:
 /// the store doesn't open, and the replica must rejoin with an empty folder.
 class FileLogStore : public LogStore {
 public:
-  /// Opens a folder, or makes a new one under \p newId.
+  /// Opens \p folder. Creates it if it doesn't exist, and gives it the identity
+  /// \p newId if it has none.
   static tl::expected<std::unique_ptr<FileLogStore>, LogStoreError>
   open(const std::string &folder, ReplicaId newId);
   ~FileLogStore() override;
 
-  /// What the folder held when it was opened; handed over once.
+  /// \returns the contents of the folder when it was opened. Moves them out, so
+  /// it can be called once.
   StoredLog takeStored() { return std::move(Stored); }
   tl::expected<void, LogStoreError> write(const LogWrite &write) override;
   tl::expected<void, LogStoreError>
@@ -46,10 +49,10 @@
   std::string Folder;
   int LogFd = -1;
   std::uint64_t LogSize = 0;
-  /// Where each entry's record begins, for cutting.
+  /// Offset in the log file of each entry's record, to truncate the file there.
   std::vector<std::uint64_t> Offsets;
   LogIndex FirstIndex = 1;
-  /// A write failed half way: nothing more is written.
+  /// A write has failed, maybe half way: all further writes are refused.
   bool Broken = false;
   StoredLog Stored;
 };
--- a/packages/consensus/pimentofront/src/Consensus/GroupChange.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/GroupChange.cpp
@@ -1,4 +1,4 @@
-//===- GroupChange.cpp - Members of the group, one at a time ----*- C++ -*-===//
+//===- GroupChange.cpp - Changes of the group's members ---------*- C++ -*-===//
 
 #include "pimentofront/Consensus.h"
 
@@ -7,7 +7,7 @@
 namespace pimentofront {
 namespace {
 
-/// A learner is promoted when it lacks no more entries than this.
+/// A learner is promoted when it lacks at most this number of entries.
 constexpr LogIndex CaughtUpWithin = 16;
 
 } // namespace
@@ -64,11 +64,12 @@
   return longest;
 }
 
-/// One step at a time, each only when the one before is committed: take in
-/// who asks, as a learner; when it has caught up, take the host's former
-/// identity out, whose disk is lost, or a voter that seems gone for good; then
-/// give the learner a vote. A learner never counts before, so a lost disk can't
-/// be mistaken for a full one.
+/// Proposes the next change of the group, once the previous one is committed.
+/// The steps are: add a joining replica as a learner; when it has caught up,
+/// remove the former identity of its host, whose disk is lost, or a voter that
+/// seems to be lost for good; then give the learner a vote. A learner doesn't
+/// count towards a quorum before that, so a replica that lost its disk can't be
+/// mistaken for one with the full log.
 void ReplicatedLog::reviewGroup(TimePoint now, std::uint64_t wallMilliseconds) {
   if (changePending())
     return;
@@ -78,7 +79,8 @@
     if (findReplica(replica.Id))
       continue;
     ReplicaGroup group = Group;
-    // An earlier identity that was never more than a learner just goes.
+    // A former identity of the host that is still a learner is removed in the
+    // same step, as it doesn't count towards a quorum.
     std::erase_if(group.Replicas, [&](const auto &it) {
       return it.Host == host && it.Learner;
     });
--- a/packages/consensus/pimentofront/src/Consensus/LogStore.h
+++ b/packages/consensus/pimentofront/src/Consensus/LogStore.h
@@ -11,18 +11,20 @@
 
 /// \class Ballot
 /// \ingroup Consensus
-/// \brief What a replica must remember so that it never votes twice.
+/// \brief The term and vote that a replica must persist so that it never votes
+/// twice in one term.
 struct Ballot {
   Term Current = 0;
-  /// For whom it voted in this term; 0 for nobody.
+  /// The replica it voted for in this term; 0 for none.
   ReplicaId VotedFor = 0;
   friend auto operator<=>(const Ballot &, const Ballot &) = default;
 };
 
 /// \class LogSnapshot
 /// \ingroup Consensus
-/// \brief The state after all entries up to one, in their place. Copies share
-/// the state's bytes: it is the largest thing that a replica holds.
+/// \brief The state after all entries up to `LastIndex`, which it replaces.
+/// Copies share the bytes of the state, since it is the largest object that a
+/// replica holds.
 struct LogSnapshot {
   LogIndex LastIndex = 0;
   Term LastTerm = 0;
@@ -46,24 +48,25 @@
 
 /// \class StoredLog
 /// \ingroup Consensus
-/// \brief All that a data folder holds.
+/// \brief The contents of a data folder.
 struct StoredLog {
-  /// Identity of the disk; drawn when the folder is created.
+  /// Identity of the disk, drawn at random when the folder is created.
   ReplicaId Id = 0;
   Ballot Vote;
   LogSnapshot Snapshot;
-  /// Entries after the snapshot, without a gap.
+  /// Entries after the snapshot, without gaps.
   std::vector<LogEntry> Entries;
 };
 
 /// \class LogStoreError
 /// \ingroup Consensus
-/// \brief Why the store can't be used.
+/// \brief Why the store can't be used or written.
 struct LogStoreError {
   enum class Kind : std::uint8_t {
-    /// The disk refuses to write; what was written before stands.
+    /// An I/O error; what was written before remains valid.
     Unwritable,
-    /// A record in the middle is damaged: the replica must rejoin empty.
+    /// A record other than a torn one at the end of the log is corrupt: the
+    /// replica must rejoin with an empty folder.
     Corrupt,
     /// Written by a newer release.
     TooNew,
@@ -74,27 +77,29 @@
 
 /// \class LogWrite
 /// \ingroup Consensus
-/// \brief What must be on the disk before any message of the same batch goes
-/// out.
+/// \brief Changes that must be durable before any message of the same batch is
+/// sent.
 struct LogWrite {
   std::optional<Ballot> Vote;
-  /// Replaces all that the store holds.
+  /// Replaces the stored snapshot and all stored entries.
   std::optional<LogSnapshot> Snapshot;
-  /// Entries to append; if the first one's index exists, the log is cut there.
+  /// Entries to append. If an entry with the first one's index exists, the log
+  /// is truncated from there before.
   std::vector<LogEntry> Entries;
   bool empty() const { return !Vote && !Snapshot && Entries.empty(); }
 };
 
 /// \class LogStore
 /// \ingroup Consensus
-/// \brief Where a replica's log survives.
+/// \brief Durable storage of a replica's log.
 class LogStore {
 public:
   virtual ~LogStore() = default;
-  /// Writes and syncs all of \p write, as one group commit.
+  /// Writes all of \p write and syncs it to the disk, as one group commit.
   virtual tl::expected<void, LogStoreError> write(const LogWrite &write) = 0;
-  /// Puts a snapshot of our own in place of the entries it covers; entries
-  /// after it stay.
+  /// Replaces the entries that \p snapshot, made by this replica, covers with
+  /// the snapshot.
+  /// \param rest the entries after the snapshot, which stay.
   virtual tl::expected<void, LogStoreError>
   compact(const LogSnapshot &snapshot, const std::vector<LogEntry> &rest) = 0;
 };
--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.cpp
@@ -62,7 +62,8 @@
   recomputeGroup();
 }
 
-/// The group in force is that of the latest entry, committed or not.
+/// Sets the group to that of the latest group entry in the log, committed or
+/// not.
 void ReplicatedLog::recomputeGroup() {
   for (auto it = Entries.rbegin(); it != Entries.rend(); ++it) {
     if (it->Kind != EntryKind::Group)
@@ -101,8 +102,8 @@
 }
 
 void ReplicatedLog::sendTo(ReplicaId to, Message message) {
-  // A learner that has no group yet answers by identity alone; the shell
-  // knows the link on which that identity speaks.
+  // A learner without a group knows only the identity of the sender. The caller
+  // of this class maps the identity to a connection.
   const ReplicaDescriptor *known = findReplica(to);
   sendTo(known ? *known : ReplicaDescriptor{.Id = to}, std::move(message));
 }
@@ -171,7 +172,7 @@
           .Kind = EntryKind::Command,
           .WallMilliseconds = wallMilliseconds,
           .Data = std::move(command)});
-  NextHeartbeat = now; // Goes out with the next tick or batch.
+  NextHeartbeat = now; // Sends it at the next tick() or synced().
   return lastIndex();
 }
 
--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
@@ -15,24 +15,27 @@
   HostName Host;
   std::string Address;
   Duration HeartbeatPeriod = std::chrono::milliseconds(150);
-  /// A follower that hears nothing for between once and twice this time asks
-  /// for an election.
+  /// A follower that receives nothing from a leader for a random time between
+  /// once and twice this value starts a pre-vote.
   Duration ElectionTimeout = std::chrono::milliseconds(600);
-  /// A replica that has just started asks so soon, and again, whether there is
-  /// a leader at all: others that started with it need some tens of
-  /// milliseconds, and two that ask at one time may split the votes.
+  /// Used in place of `ElectionTimeout` by a replica that has just started and
+  /// knows no leader, to ask early and repeatedly whether there is one. Long
+  /// enough for others that started at the same time, which need some tens of
+  /// milliseconds; replicas that ask at the same time may split the votes.
   Duration FirstProbe = std::chrono::milliseconds(100);
-  /// Taken off the leader's lease: how far clocks may drift in that time.
+  /// Subtracted from the leader's lease: the maximum clock drift between
+  /// replicas during a lease.
   Duration ClockMargin = std::chrono::milliseconds(60);
-  /// Bytes of entries in one message.
+  /// Maximum bytes of entries in one message, if there is more than one entry.
   std::size_t MaxBatchBytes = std::size_t(512) << 10;
-  /// Bytes of a snapshot in one message.
+  /// Maximum bytes of a snapshot in one message.
   std::size_t SnapshotPartBytes = std::size_t(256) << 10;
-  /// Replicas with a vote that the leader tries to have.
+  /// Number of voters up to which the leader promotes learners.
   std::uint32_t WantedVoters = 3;
-  /// A voter that hasn't been heard for so long gives its place to a learner
-  /// that has caught up: it may be gone for good, and the next loss would take
-  /// the majority. Longer than a process is usually frozen or restarted.
+  /// A voter that hasn't replied for this time is replaced by a learner that
+  /// has caught up: the voter may be lost for good, and the next loss could
+  /// then take the majority. Longer than a process is usually paused or takes
+  /// to restart.
   Duration ReplaceAfter = std::chrono::milliseconds(4500);
   std::uint64_t Seed = 1;
 };
@@ -48,57 +51,69 @@
 
 /// \class LogActions
 /// \ingroup Consensus
-/// \brief What the shell does, in this order: write and sync, report synced(),
-/// send, restore, apply.
+/// \brief What the caller has to do, in this order: write and sync `Write`,
+/// call synced(), send `Messages`, restore the state machine, apply
+/// `Committed`.
 struct LogActions {
   LogWrite Write;
   std::vector<OutgoingLogMessage> Messages;
-  /// The state machine starts from here.
+  /// Replaces the state of the state machine.
   std::optional<LogSnapshot> Restore;
-  /// Entries that are committed, in order, each once.
+  /// Newly committed commands, in order of the log. Each is returned once.
   std::vector<LogEntry> Committed;
 };
 
 /// \class ReplicatedLog
 /// \ingroup Consensus
-/// \brief One replica's part in agreeing on a log.
+/// \brief One replica of a log that is replicated with Raft.
 ///
-/// Use it for small state that must survive, at some thousand commands a
-/// second. It isn't for bulk data, and not for members beyond a handful.
+/// Use it for small, durable state at some thousand commands per second. It
+/// isn't meant for bulk data, nor for groups of more than a handful of members.
 ///
-/// Invariants, beside Raft's own: a replica whose identity isn't in the group
-/// neither votes nor counts; one that has just started grants no vote for an
-/// election timeout, since it may have promised a leader its lease, unless all
-/// voters are of one term and know of no leader in it: after a loss of all
-/// power nobody holds a lease any more, and waiting for its end only costs the
-/// callers 0.6 s. A leader that was elected since has a higher term, which its
-/// voters remember. A leader that hasn't heard from a quorum within an election
-/// timeout steps down.
+/// Invariants in addition to Raft's own:
+/// - A replica whose identity isn't in the group neither votes nor counts
+///   towards a quorum.
+/// - A replica that has just started grants no vote for an election timeout,
+///   since it may have acknowledged a leader's lease before it restarted. The
+///   exception is an election before which all voters were in one term and knew
+///   no leader in it. After a power failure of all replicas nobody holds a
+///   lease any more, and waiting for its end would only cost the callers 0.6 s.
+///   A leader elected in the meantime has a higher term, which its voters have
+///   persisted.
+/// - A leader that hasn't received replies from a quorum within an election
+///   timeout steps down.
 class ReplicatedLog {
 public:
   ReplicatedLog(TimePoint now, const ReplicatedLogOptions &options,
                 const StoredLog &stored);
 
-  /// Makes this replica, alone, the group. Only for a folder without a group.
+  /// Creates a group that consists of this replica alone.
+  /// \returns false, without effect, if the log isn't empty or has a group.
   bool bootstrap(TimePoint now, std::uint64_t wallMilliseconds);
   void onMessage(TimePoint now, std::uint64_t wallMilliseconds,
                  const Message &message);
-  /// Looks at time limits; to be called every few tens of milliseconds.
+  /// Checks timeouts and sends heartbeats. Call it every few tens of
+  /// milliseconds.
   void tick(TimePoint now, std::uint64_t wallMilliseconds);
-  /// \returns the index at which the command will stand, if this replica leads.
+  /// Appends a command to the log if this replica is the leader.
+  /// \returns the index of its entry, which isn't committed yet.
   std::optional<LogIndex> propose(TimePoint now, std::uint64_t wallMilliseconds,
                                   std::string command);
-  /// A replica that isn't in the group asks to be taken in, as a learner.
+  /// A replica that isn't in the group asks to join it as a learner.
   void onJoin(TimePoint now, const ReplicaDescriptor &replica);
-  /// An operator takes a member out.
+  /// Proposes to remove a member, on behalf of an operator.
+  /// \returns false if this replica isn't the leader, another change is
+  /// pending, or \p host is the leader's own or isn't that of exactly one
+  /// member.
   bool removeReplica(TimePoint now, std::uint64_t wallMilliseconds,
                      const HostName &host);
 
-  /// \returns what is to be done since the last call.
+  /// \returns the actions that have accumulated since the last call.
   LogActions takeActions();
-  /// All that was written is synced.
+  /// Reports that all writes handed out so far are durable.
   void synced(TimePoint now);
-  /// The shell has put \p snapshot in place of the entries it covers.
+  /// Reports that the caller has replaced the entries that \p snapshot covers
+  /// in the store.
   void compacted(const LogSnapshot &snapshot);
 
   LogRole role() const { return Role; }
@@ -110,13 +125,15 @@
   bool isMember() const { return findReplica(Id) != nullptr; }
   /// \returns the leader, if one is known.
   const ReplicaDescriptor *leader() const;
-  /// \returns whether this replica leads and no other can, so that its state
-  /// may be read and tickets given out.
+  /// \returns whether this replica is the leader and no other one can be, so
+  /// that its state may be read and tickets may be issued.
   bool holdsLease(TimePoint now) const;
-  /// \returns the index that a state must have applied to be current now.
+  /// \returns the index up to which the state machine must have applied the log
+  /// to serve a linearizable read; nothing without a lease.
   std::optional<LogIndex> readIndex(TimePoint now) const;
   /// \returns a snapshot that covers all entries up to \p index.
-  /// \pre the entries up to \p index have been given out as committed.
+  /// \param state the encoded state of the state machine after \p index.
+  /// \pre the entries up to \p index have been returned as committed.
   LogSnapshot snapshotAt(LogIndex index, std::string state) const;
   /// \returns entries after \p index, for compaction.
   std::vector<LogEntry> entriesAfter(LogIndex index) const;
@@ -126,20 +143,22 @@
   struct Progress {
     LogIndex Next = 1;
     LogIndex Match = 0;
-    /// Latest round that it answered, and when that round was sent.
+    /// When the latest round that it has answered was sent.
     TimePoint HeardSince;
+    /// When its last reply arrived.
     TimePoint HeardAt;
-    /// A message with entries or a part of a snapshot is under way.
+    /// A message with entries or a part of a snapshot is unacknowledged.
     bool Waiting = false;
     TimePoint SentAt;
     std::uint64_t SnapshotOffset = 0;
     LogIndex SnapshotIndex = 0;
   };
+  /// A heartbeat or replication message, numbered to attribute the replies.
   struct Round {
     std::uint64_t Number = 0;
     TimePoint SentAt;
   };
-  /// A snapshot that arrives in parts.
+  /// A snapshot of which some parts have arrived.
   struct Incoming {
     LogIndex LastIndex = 0;
     Term LastTerm = 0;
@@ -148,7 +167,7 @@
     std::string State;
   };
 
-  // ReplicatedLog.cpp: the log itself.
+  // ReplicatedLog.cpp
   Term termAt(LogIndex index) const;
   const LogEntry &entryAt(LogIndex index) const;
   void append(const LogEntry &entry);
@@ -166,8 +185,8 @@
   // Election.cpp
   void becomeFollower(TimePoint now, Term term, ReplicaId leader);
   void startElection(TimePoint now, bool probe, bool nobodyLeads = false);
-  /// \returns whether each voter has said in its answer to the probe that it
-  /// knows of no leader in this term.
+  /// \returns whether every other voter has replied to the pre-vote that it
+  /// knows no leader in this term.
   bool isKnownLeaderless() const;
   void becomeLeader(TimePoint now, std::uint64_t wallMilliseconds);
   void onVoteRequest(TimePoint now, const VoteRequest &request);
@@ -193,8 +212,9 @@
   std::uint64_t beginRound(TimePoint now);
 
   // GroupChange.cpp
-  /// \returns the voter whose place \p learner takes, or 0: the one of its own
-  /// host, or with all places taken the one that has been silent longest.
+  /// \returns the voter that \p learner replaces, or 0 for none: the voter of
+  /// its own host, or if there are `WantedVoters` the one that has been silent
+  /// for longest, at least for `ReplaceAfter`.
   ReplicaId voterToReplace(TimePoint now,
                            const ReplicaDescriptor &learner) const;
   void reviewGroup(TimePoint now, std::uint64_t wallMilliseconds);
@@ -208,7 +228,7 @@
   LogSnapshot Snapshot;
   std::deque<LogEntry> Entries;
   ReplicaGroup Group;
-  /// Where the group's latest entry stands.
+  /// Index of the entry, or of the snapshot, that the group is from.
   LogIndex GroupIndex = 0;
   LogIndex Committed = 0;
   LogIndex Applied = 0;
@@ -218,11 +238,12 @@
   ReplicaId Leader = 0;
   bool Probing = false;
   std::set<ReplicaId> Votes;
-  /// Voters that answered the probe and know of no leader in this term.
+  /// Voters that replied to the pre-vote and know no leader in this term.
   std::set<ReplicaId> Leaderless;
   TimePoint LeaderHeardAt;
   TimePoint ElectionAt;
-  /// No vote is granted before: this replica may have promised a lease.
+  /// No vote is granted before this time, since this replica may have
+  /// acknowledged a leader's lease before it restarted.
   TimePoint NoVoteBefore;
   Random Jitter;
 
--- a/packages/consensus/pimentofront/src/Consensus/Replication.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/Replication.cpp
@@ -1,4 +1,4 @@
-//===- Replication.cpp - Entries and snapshots on their way -----*- C++ -*-===//
+//===- Replication.cpp - Replication of entries and snapshots ---*- C++ -*-===//
 
 #include "pimentofront/Consensus.h"
 
@@ -46,7 +46,8 @@
                         .PreviousTerm = termAt(progress.Next - 1),
                         .Committed = Committed,
                         .Round = beginRound(now)};
-  // Entries that are under way aren't sent again before they may be lost.
+  // Unacknowledged entries are resent only after an election timeout, when they
+  // may have been lost.
   const bool hold =
       progress.Waiting && now < progress.SentAt + Options.ElectionTimeout;
   std::size_t bytes = 0;
@@ -82,7 +83,8 @@
   const bool hold =
       progress.Waiting && now < progress.SentAt + Options.ElectionTimeout;
   if (hold) {
-    // Keeps the follower from an election while a part is under way.
+    // A heartbeat, so that the follower starts no election while the part is
+    // unacknowledged.
     return sendTo(to, AppendRequest{.From = Id,
                                     .LeaderTerm = Vote.Current,
                                     .PreviousIndex = Snapshot.LastIndex,
@@ -117,7 +119,8 @@
     Committed = std::max(Committed, std::min(request.Committed, reply.Index));
     applyCommitted();
   } else {
-    // Skip what can't match: at most our end, at least what is committed.
+    // Tell the leader where to retry: not after the end of this log, where
+    // nothing can match, and not before the committed entries, which do match.
     const LogIndex guess = std::min(lastIndex(), request.PreviousIndex - 1);
     reply.Index = std::max(guess, Committed);
   }
@@ -156,7 +159,7 @@
   resetElectionTimer(now);
   reply.FollowerTerm = Vote.Current;
   if (part.LastIndex <= Committed) {
-    reply.Received = part.TotalSize; // We have it already.
+    reply.Received = part.TotalSize; // All of it is in the log already.
     return sendTo(part.From, reply);
   }
   if (!Arriving || Arriving->LastIndex != part.LastIndex ||
@@ -197,7 +200,7 @@
   noteRound(now, progress, reply.Round);
   const ReplicaDescriptor *to = findReplica(reply.From);
   if (progress.Next <= Snapshot.LastIndex && !reply.Matched)
-    return; // A snapshot is under way.
+    return; // It is receiving a snapshot.
   if (!reply.Matched) {
     progress.Next = std::min(progress.Next, reply.Index + 1);
     progress.Waiting = false;
