--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -54,14 +54,14 @@
 guard "a leader relies on its lease, not on its role" \
   packages/consensus/pimentofront/src/Consensus/Election.cpp \
   'return now < since + Options.ElectionTimeout - Options.ClockMargin;' 'return true;' \
-  "a leader's lease runs from when its question was sent"
+  "a leader's lease counts from when its request was sent"
 guard "a replica that just started grants no vote" \
   packages/consensus/pimentofront/src/Consensus/Election.cpp \
   'leaderAlive || now < NoVoteBefore' 'leaderAlive' \
   "a replica that has just started grants no vote"
 guard "what isn't synced isn't committed" \
   packages/consensus/pimentofront/src/Consensus/Replication.cpp \
-  '? Synced' '? lastIndex()' "a group of one commits by itself"
+  '? Synced' '? lastIndex()' "a group of one commits what it has synced"
 guard "the configuration never goes back" \
   packages/state/pimentofront/src/State/ConfigurationCopy.cpp \
   'if (changedAt(it) <= Records.revision())' 'if (false)' \
--- a/test/ConsensusTest.cpp
+++ b/test/ConsensusTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A group of three, of which this replica is number 1.
+/// The stored log of replica 1 of a group of three.
 StoredLog storedOfThree(Term term) {
   StoredLog stored{.Id = 1, .Vote = {.Current = term}};
   stored.Snapshot = {.LastIndex = 1, .LastTerm = 1};
@@ -28,7 +28,7 @@
 
 constexpr TimePoint Start{100s};
 
-/// Makes \p log the leader of its group, by the vote of replica 2.
+/// Makes \p log the leader of its group with the vote of replica 2.
 void elect(ReplicatedLog &log, TimePoint now) {
   log.tick(now, 0);
   REQUIRE(log.role() == LogRole::Candidate);
@@ -41,14 +41,14 @@
 
 } // namespace
 
-TEST_CASE("a group of one commits by itself") {
+TEST_CASE("a group of one commits what it has synced") {
   ReplicatedLog log(Start, {.Host = HostName("n1")}, {.Id = 1});
   REQUIRE(log.bootstrap(Start, 5));
   log.takeActions();
   log.synced(Start);
   REQUIRE(log.propose(Start, 7, "x"));
   log.tick(Start + 1s, 8);
-  CHECK(log.takeActions().Committed.empty()); // Not before it is synced.
+  CHECK(log.takeActions().Committed.empty()); // Not synced yet.
   log.synced(Start);
   const LogActions actions = log.takeActions();
   REQUIRE(actions.Committed.size() == 1);
@@ -56,7 +56,7 @@
   CHECK(actions.Committed[0].WallMilliseconds == 7);
 }
 
-TEST_CASE("a folder is bootstrapped once") {
+TEST_CASE("a log that has a group can't be bootstrapped again") {
   ReplicatedLog log(Start, {}, storedOfThree(1));
   CHECK_FALSE(log.bootstrap(Start, 0));
 }
@@ -75,7 +75,7 @@
   CHECK(later[0].Granted);
 }
 
-TEST_CASE("it votes once in a term, and not for one who lacks entries") {
+TEST_CASE("a replica votes once per term and only for an up-to-date log") {
   ReplicatedLog log(Start, {}, storedOfThree(1));
   const TimePoint now = Start + 1s;
   log.onMessage(now, 0, VoteRequest{2, 5, 0, 0, false});
@@ -86,7 +86,7 @@
   CHECK_FALSE(sent<VoteReply>(log).at(0).Granted);
 }
 
-TEST_CASE("while a leader is heard no vote moves the term") {
+TEST_CASE("a vote request doesn't change the term while there is a leader") {
   ReplicatedLog log(Start, {}, storedOfThree(1));
   log.onMessage(
       Start + 1s, 0,
@@ -96,7 +96,8 @@
   CHECK(log.term() == 2);
 }
 
-TEST_CASE("a lost disk is another identity, and its vote counts for nothing") {
+TEST_CASE("a replica with a lost disk has another identity whose vote doesn't "
+          "count") {
   ReplicatedLog log(Start, {}, storedOfThree(1));
   const TimePoint now = Start + 5s;
   log.tick(now, 0);
@@ -105,21 +106,21 @@
   CHECK(log.term() == 1);
 }
 
-TEST_CASE("a leader's lease runs from when its question was sent") {
+TEST_CASE("a leader's lease counts from when its request was sent") {
   ReplicatedLog log(Start, {}, storedOfThree(1));
   const TimePoint now = Start + 5s;
   elect(log, now);
   CHECK_FALSE(log.holdsLease(now));
   const std::uint64_t round = sent<AppendRequest>(log).at(0).Round;
   log.synced(now);
-  // The answer comes late: the lease counts from the question.
+  // The reply comes late, but the lease counts from when the request was sent.
   log.onMessage(now + 400ms, 0, AppendReply{2, 2, true, 2, round});
   CHECK(log.holdsLease(now + 500ms));
   CHECK_FALSE(log.holdsLease(now + 550ms));
   CHECK_FALSE(log.readIndex(now + 550ms));
 }
 
-TEST_CASE("a leader that hears nobody steps down") {
+TEST_CASE("a leader without replies from a quorum steps down") {
   ReplicatedLog log(Start, {}, storedOfThree(1));
   elect(log, Start + 5s);
   log.tick(Start + 5500ms, 0);
@@ -128,7 +129,7 @@
   CHECK(log.role() == LogRole::Follower);
 }
 
-TEST_CASE("an entry of an earlier term isn't committed by counting") {
+TEST_CASE("an entry of an earlier term isn't committed by counting replicas") {
   StoredLog stored = storedOfThree(1);
   stored.Entries = {{1, 2, EntryKind::Command, 0, "old"}};
   ReplicatedLog log(Start, {}, stored);
@@ -141,7 +142,7 @@
   CHECK(log.commitIndex() == 3);
 }
 
-TEST_CASE("a follower cuts what another leader left, never what is committed") {
+TEST_CASE("a follower truncates conflicting entries but never committed ones") {
   StoredLog stored = storedOfThree(3);
   stored.Entries = {{2, 2, EntryKind::Command, 0, "a"},
                     {2, 3, EntryKind::Command, 0, "b"}};
@@ -155,7 +156,7 @@
                               .Entries = {{3, 3, EntryKind::Command, 0, "c"}}});
   CHECK(log.lastIndex() == 3);
   CHECK(log.takeActions().Write.Entries.at(0).Data == "c");
-  // A confused message that would cut entry 2.
+  // An invalid message that would truncate the committed entry 2.
   log.onMessage(Start, 0,
                 AppendRequest{.From = 2,
                               .LeaderTerm = 3,
@@ -168,11 +169,12 @@
 
 namespace {
 
-/// A leader of three, number 1, with what its followers answer.
+/// Replica 1 as the leader of a group of three, with simulated followers.
 struct LeaderOfThree {
   LeaderOfThree() : Log(Start, {}, storedOfThree(1)) { elect(Log, Now); }
 
-  /// \p alive answer each message of the leader for \p time.
+  /// Runs the leader for \p time, with replicas \p alive answering its
+  /// messages.
   void play(Duration time, const std::set<ReplicaId> &alive) {
     for (const TimePoint end = Now + time; Now < end; Now += 50ms) {
       Log.tick(Now, 0);
@@ -190,7 +192,7 @@
                                 it->PreviousIndex + it->Entries.size(),
                                 it->Round});
   }
-  /// \returns the replicas with a vote.
+  /// \returns the voters of the group.
   std::set<ReplicaId> voters() const {
     std::set<ReplicaId> result;
     for (const ReplicaDescriptor &it : Log.group().Replicas)
@@ -205,22 +207,23 @@
 
 } // namespace
 
-TEST_CASE("a learner of another host replaces a voter that is gone") {
+TEST_CASE(
+    "a learner of another host replaces a voter that is silent for too long") {
   LeaderOfThree leader;
   leader.play(500ms, {2, 3});
   const JoinRequest join{
       {.Id = 4, .Host = HostName("n4"), .Address = "b", .Learner = true}};
-  SECTION("but not one that is heard") {
+  SECTION("not one that replies") {
     leader.Log.onMessage(leader.Now, 0, join);
     leader.play(10s, {2, 3, 4});
     CHECK(leader.voters() == std::set<ReplicaId>{1, 2, 3});
   }
-  SECTION("nor one that has been silent for a short while") {
+  SECTION("not one that is silent for less than the limit") {
     leader.Log.onMessage(leader.Now, 0, join);
     leader.play(4s, {2, 4});
     CHECK(leader.voters() == std::set<ReplicaId>{1, 2, 3});
   }
-  SECTION("once it has been silent for long") {
+  SECTION("one that is silent for longer than the limit") {
     leader.play(2s, {2});
     leader.Log.onMessage(leader.Now, 0, join);
     leader.play(4s, {2, 4});
@@ -231,7 +234,7 @@
 
 namespace {
 
-/// What a voter answers to a probe that it doesn't grant.
+/// The reply of a voter that denies a pre-vote.
 VoteReply answerOf(ReplicaId from, Term term, Term asked, bool justStarted) {
   return {.From = from,
           .VoterTerm = term,
@@ -243,17 +246,17 @@
 
 } // namespace
 
-// After a loss of all power each replica waited for the end of a lease that
-// nobody held any more: 0.4 to 0.8 s of each recovery.
-TEST_CASE("after a loss of all power nobody waits for a lease") {
+// After a power failure of all replicas nobody holds a lease any more. Waiting
+// for the end of one added 0.4 to 0.8 s to each recovery.
+TEST_CASE("after a power failure of all replicas none waits for a lease") {
   ReplicatedLog log(Start, {}, storedOfThree(4));
   const TimePoint now = Start + 200ms;
   log.tick(now, 0);
   REQUIRE(log.role() == LogRole::Candidate);
   REQUIRE(sent<VoteRequest>(log).at(0).Probe);
   log.onMessage(now, 0, answerOf(2, 4, 5, true));
-  CHECK(sent<VoteRequest>(log).empty()); // The third may lead.
-  SECTION("all know of no leader") {
+  CHECK(sent<VoteRequest>(log).empty()); // Replica 3 may be the leader.
+  SECTION("no voter knows a leader") {
     log.onMessage(now, 0, answerOf(3, 4, 5, true));
     const auto asked = sent<VoteRequest>(log);
     REQUIRE(asked.size() == 2);
@@ -262,15 +265,17 @@
     log.onMessage(now, 0, VoteReply{2, 5, 5, true, false});
     CHECK(log.role() == LogRole::Leader);
   }
-  SECTION("one knows of a leader") {
+  SECTION("one voter knows a leader") {
     log.onMessage(now, 0, answerOf(3, 4, 5, false));
     CHECK(sent<VoteRequest>(log).empty());
   }
-  SECTION("one is of an earlier term, in which it may yet promise a lease") {
+  SECTION(
+      "one voter is in an earlier term, where it may still extend a lease") {
     log.onMessage(now, 0, answerOf(3, 3, 5, true));
     CHECK(sent<VoteRequest>(log).empty());
   }
-  SECTION("a quorum alone isn't enough while its own promise may hold") {
+  SECTION(
+      "a quorum isn't enough while its own vote is withheld after the start") {
     VoteReply granted = answerOf(2, 4, 5, false);
     granted.Granted = true;
     log.onMessage(now, 0, granted);
@@ -278,7 +283,8 @@
   }
 }
 
-TEST_CASE("a voter says whether only its start keeps it from a vote") {
+TEST_CASE("a voter reports whether it denies a pre-vote only because it just "
+          "started") {
   ReplicatedLog log(Start, {}, storedOfThree(4));
   const TimePoint now = Start + 100ms;
   const VoteRequest probe{.From = 2,
@@ -297,11 +303,11 @@
   log.onMessage(now, 0, vote);
   CHECK_FALSE(sent<VoteReply>(log).at(0).Granted);
   vote.NobodyLeads = true;
-  SECTION("it votes once it is told that nobody leads") {
+  SECTION("it votes when the request says that there is no leader") {
     log.onMessage(now, 0, vote);
     CHECK(sent<VoteReply>(log).at(0).Granted);
   }
-  SECTION("but not while it hears of a leader itself") {
+  SECTION("it doesn't vote while it receives messages of a leader") {
     log.onMessage(now, 0, AppendRequest{.From = 3, .LeaderTerm = 4});
     sent<AppendReply>(log);
     log.onMessage(now + 50ms, 0, probe);
--- a/test/LogStoreTest.cpp
+++ b/test/LogStoreTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A folder that goes with the test.
+/// A temporary folder, removed at the end of the test.
 struct Folder {
   Folder() {
     char name[] = "/tmp/pimentofront-store-XXXXXX";
@@ -38,7 +38,8 @@
 
 } // namespace
 
-TEST_CASE("what was written is there again, under the first identity") {
+TEST_CASE(
+    "a reopened store has what was written and keeps its first identity") {
   const Folder folder;
   writeThree(folder.Path);
   auto store = FileLogStore::open(folder.Path, 99);
@@ -50,7 +51,7 @@
   CHECK(stored.Entries[2].Data == "three");
 }
 
-TEST_CASE("an entry in place of an old one cuts the rest") {
+TEST_CASE("an entry that replaces an old one truncates the log after it") {
   const Folder folder;
   writeThree(folder.Path);
   REQUIRE(mustOpen(folder.Path)->write({.Entries = {entry(2, "new", 2)}}));
@@ -59,7 +60,7 @@
   CHECK(stored.Entries[1].Data == "new");
 }
 
-TEST_CASE("a torn tail is cut off at any byte") {
+TEST_CASE("a torn write at the end is truncated at any byte") {
   const Folder folder;
   writeThree(folder.Path);
   const std::string log = folder.Path + "/log";
@@ -69,13 +70,13 @@
     fs::resize_file(log, n);
     const StoredLog stored = mustOpen(folder.Path)->takeStored();
     CHECK(stored.Entries.size() == 2);
-    // The cut is made good: later entries go where the torn one stood.
+    // Later entries are written at the position of the torn one.
     REQUIRE(mustOpen(folder.Path)->write({.Entries = {entry(3, "again")}}));
     CHECK(mustOpen(folder.Path)->takeStored().Entries.size() == 3);
   }
 }
 
-TEST_CASE("a damaged record in the middle isn't taken for a torn tail") {
+TEST_CASE("a corrupt record in the middle isn't taken for a torn write") {
   const Folder folder;
   writeThree(folder.Path);
   std::fstream log(folder.Path + "/log",
@@ -88,7 +89,7 @@
   CHECK(store.error().What == LogStoreError::Kind::Corrupt);
 }
 
-TEST_CASE("a snapshot stands in place of the entries that it covers") {
+TEST_CASE("a snapshot replaces the entries that it covers") {
   const Folder folder;
   writeThree(folder.Path);
   const LogSnapshot snapshot = LogSnapshot::make(2, 1, {}, "state");
@@ -99,7 +100,7 @@
   CHECK(stored.Entries[0].Index == 3);
 }
 
-TEST_CASE("a crash between the snapshot and the cut loses nothing") {
+TEST_CASE("a crash between writing the snapshot and the log loses nothing") {
   const Folder folder;
   writeThree(folder.Path);
   const std::string log = folder.Path + "/log";
@@ -112,7 +113,7 @@
   CHECK(stored.Entries[0].Data == "three");
 }
 
-TEST_CASE("a lost folder comes back under another identity") {
+TEST_CASE("a folder that was lost gets another identity") {
   const Folder folder;
   writeThree(folder.Path);
   fs::remove_all(folder.Path);
@@ -121,7 +122,7 @@
   CHECK((*store)->takeStored().Id == 99);
 }
 
-TEST_CASE("a store that could not write once writes no more") {
+TEST_CASE("a store refuses all writes after a failed one") {
   const Folder folder;
   auto store = mustOpen(folder.Path);
   fs::remove_all(folder.Path);
