--- a/packages/consensus/pimentofront/src/Consensus/Election.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/Election.cpp
@@ -8,13 +8,13 @@
 
 void ReplicatedLog::resetElectionTimer(TimePoint now) {
   const bool justStarted = now < NoVoteBefore && Leader == 0;
-  ElectionAt = now + Jitter.jitter(justStarted ? Options.FirstProbe
-                                               : Options.ElectionTimeout);
+  ElectionDueAt = now + Jitter.jitter(justStarted ? Options.InitialPreVoteDelay
+                                                  : Options.ElectionTimeout);
 }
 
-bool ReplicatedLog::isKnownLeaderless() const {
+bool ReplicatedLog::noVoterKnowsLeader() const {
   return std::ranges::all_of(Group.Replicas, [&](const auto &it) {
-    return it.Learner || it.Id == Id || Leaderless.contains(it.Id);
+    return it.Learner || it.Id == Id || VotersWithoutLeader.contains(it.Id);
   });
 }
 
@@ -30,20 +30,21 @@
   Votes.clear();
 }
 
-void ReplicatedLog::startElection(TimePoint now, bool probe, bool nobodyLeads) {
+void ReplicatedLog::startElection(TimePoint now, bool preVote,
+                                  bool nobodyLeads) {
   Role = LogRole::Candidate;
   Leader = 0;
-  Probing = probe;
+  PreVoting = preVote;
   Votes = {Id};
-  Leaderless.clear();
+  VotersWithoutLeader.clear();
   resetElectionTimer(now);
-  if (!probe)
+  if (!preVote)
     setVote({.Current = Vote.Current + 1, .VotedFor = Id});
   const VoteRequest request{.From = Id,
-                            .CandidateTerm = Vote.Current + (probe ? 1 : 0),
+                            .CandidateTerm = Vote.Current + (preVote ? 1 : 0),
                             .LastIndex = lastIndex(),
                             .LastTerm = termAt(lastIndex()),
-                            .Probe = probe,
+                            .Probe = preVote,
                             .NobodyLeads = nobodyLeads};
   for (const ReplicaDescriptor &it : Group.Replicas)
     if (it.Id != Id && !it.Learner)
@@ -55,7 +56,7 @@
                  .VoterTerm = Vote.Current,
                  .CandidateTerm = request.CandidateTerm,
                  .Granted = true,
-                 .Probe = probe});
+                 .Probe = preVote});
 }
 
 bool ReplicatedLog::isUpToDate(const VoteRequest &request) const {
@@ -70,27 +71,29 @@
   // still count this replica in its quorum.
   const bool leaderAlive =
       Role == LogRole::Leader
-          ? quorumHeardAt() + Options.ElectionTimeout >= now
-          : Leader != 0 && LeaderHeardAt + Options.ElectionTimeout > now;
+          ? quorumLastReplyAt() + Options.ElectionTimeout >= now
+          : Leader != 0 && LeaderLastSeenAt + Options.ElectionTimeout > now;
   const bool justStarted = now < NoVoteBefore && !request.NobodyLeads;
-  const bool promised = leaderAlive || justStarted;
+  const bool leaseMayHold = leaderAlive || justStarted;
   VoteReply reply{.From = Id,
                   .VoterTerm = Vote.Current,
                   .CandidateTerm = request.CandidateTerm,
                   .Probe = request.Probe};
-  const bool fits =
+  const bool eligible =
       isVoter() && request.CandidateTerm >= Vote.Current && isUpToDate(request);
-  const bool considered = fits && !promised;
+  const bool mayGrant = eligible && !leaseMayHold;
   if (request.Probe) {
     const bool newer = request.CandidateTerm > Vote.Current;
-    reply.Granted = considered && newer;
-    reply.OnlyJustStarted = fits && newer && !leaderAlive && !reply.Granted;
+    reply.Granted = mayGrant && newer;
+    reply.OnlyJustStarted = eligible && newer && !leaderAlive && !reply.Granted;
     return sendTo(request.From, reply);
   }
-  if (!promised && request.CandidateTerm > Vote.Current)
+  if (!leaseMayHold && request.CandidateTerm > Vote.Current)
     becomeFollower(now, request.CandidateTerm, 0);
-  const bool free = Vote.VotedFor == 0 || Vote.VotedFor == request.From;
-  reply.Granted = considered && request.CandidateTerm == Vote.Current && free;
+  const bool voteAvailable =
+      Vote.VotedFor == 0 || Vote.VotedFor == request.From;
+  reply.Granted =
+      mayGrant && request.CandidateTerm == Vote.Current && voteAvailable;
   reply.VoterTerm = Vote.Current;
   if (reply.Granted) {
     setVote({.Current = Vote.Current, .VotedFor = request.From});
@@ -101,29 +104,29 @@
 
 void ReplicatedLog::onVoteReply(TimePoint now, std::uint64_t wallMilliseconds,
                                 const VoteReply &reply) {
-  if (Role != LogRole::Candidate || reply.Probe != Probing)
+  if (Role != LogRole::Candidate || reply.Probe != PreVoting)
     return;
   if (reply.VoterTerm > Vote.Current && !reply.Granted)
     return becomeFollower(now, reply.VoterTerm, 0);
-  const Term asked = Vote.Current + (Probing ? 1 : 0);
+  const Term requestedTerm = Vote.Current + (PreVoting ? 1 : 0);
   const ReplicaDescriptor *voter = findReplica(reply.From);
-  if (reply.CandidateTerm != asked || !voter || voter->Learner)
+  if (reply.CandidateTerm != requestedTerm || !voter || voter->Learner)
     return;
   const bool noLeader = reply.Granted || reply.OnlyJustStarted;
-  if (Probing && noLeader && reply.VoterTerm == Vote.Current)
-    Leaderless.insert(reply.From);
-  if (Probing && isKnownLeaderless())
-    return startElection(now, /*probe=*/false, /*nobodyLeads=*/true);
+  if (PreVoting && noLeader && reply.VoterTerm == Vote.Current)
+    VotersWithoutLeader.insert(reply.From);
+  if (PreVoting && noVoterKnowsLeader())
+    return startElection(now, /*preVote=*/false, /*nobodyLeads=*/true);
   if (!reply.Granted)
     return;
   Votes.insert(reply.From);
   // The candidate's own vote counts, too, so its own acknowledgement of an
   // earlier lease must have expired.
-  const bool mayCount = !Probing || now >= NoVoteBefore;
-  if (Votes.size() < quorum() || !mayCount)
+  const bool ownVoteCounts = !PreVoting || now >= NoVoteBefore;
+  if (Votes.size() < quorum() || !ownVoteCounts)
     return;
-  if (Probing)
-    return startElection(now, /*probe=*/false);
+  if (PreVoting)
+    return startElection(now, /*preVote=*/false);
   becomeLeader(now, wallMilliseconds);
 }
 
@@ -135,12 +138,12 @@
   Rounds.clear();
   for (const ReplicaDescriptor &it : Group.Replicas)
     if (it.Id != Id)
-      Followers[it.Id] = {.Next = lastIndex() + 1, .HeardAt = now};
+      Followers[it.Id] = {.Next = lastIndex() + 1, .LastReplyAt = now};
   // Entries of earlier terms are committed indirectly, by an entry of this
   // term.
-  LeaderFrom = lastIndex() + 1;
+  TermStartIndex = lastIndex() + 1;
   append({.EntryTerm = Vote.Current,
-          .Index = LeaderFrom,
+          .Index = TermStartIndex,
           .Kind = EntryKind::Nothing,
           .WallMilliseconds = wallMilliseconds});
   replicateAll(now);
@@ -148,7 +151,7 @@
 
 /// \returns the latest time such that a quorum, including this replica, has
 /// answered a round that was sent then or later.
-TimePoint ReplicatedLog::quorumHeardSince() const {
+TimePoint ReplicatedLog::quorumAckedSince() const {
   std::vector<TimePoint> times;
   for (const ReplicaDescriptor &it : Group.Replicas) {
     if (it.Learner)
@@ -157,7 +160,7 @@
     times.push_back(it.Id == Id ? TimePoint::max()
                     : follower == Followers.end()
                         ? TimePoint::min()
-                        : follower->second.HeardSince);
+                        : follower->second.AckedRoundSentAt);
   }
   if (times.size() < quorum() || times.empty())
     return TimePoint::min();
@@ -167,15 +170,16 @@
 
 /// \returns the latest time such that a quorum, including this replica, has
 /// replied then or later.
-TimePoint ReplicatedLog::quorumHeardAt() const {
+TimePoint ReplicatedLog::quorumLastReplyAt() const {
   std::vector<TimePoint> times;
   for (const ReplicaDescriptor &it : Group.Replicas) {
     if (it.Learner)
       continue;
     const auto follower = Followers.find(it.Id);
     times.push_back(it.Id == Id ? TimePoint::max() - Options.ElectionTimeout
-                    : follower == Followers.end() ? TimePoint()
-                                                  : follower->second.HeardAt);
+                    : follower == Followers.end()
+                        ? TimePoint()
+                        : follower->second.LastReplyAt);
   }
   if (times.empty())
     return TimePoint();
@@ -188,14 +192,14 @@
     return false;
   if (voterCount() == 1 && isVoter())
     return true;
-  const TimePoint since = quorumHeardSince();
+  const TimePoint since = quorumAckedSince();
   if (since == TimePoint::min())
     return false;
   return now < since + Options.ElectionTimeout - Options.ClockMargin;
 }
 
 std::optional<LogIndex> ReplicatedLog::readIndex(TimePoint now) const {
-  if (!holdsLease(now) || Committed < LeaderFrom)
+  if (!holdsLease(now) || Committed < TermStartIndex)
     return std::nullopt;
   return Committed;
 }
--- a/packages/consensus/pimentofront/src/Consensus/FileLogStore.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/FileLogStore.cpp
@@ -94,11 +94,11 @@
   return ok;
 }
 
-std::string numberBytes(std::uint64_t n) {
+std::string encodeNumber(std::uint64_t n) {
   return {reinterpret_cast<const char *>(&n), sizeof(n)};
 }
 
-std::uint64_t numberAt(std::string_view bytes, std::size_t at) {
+std::uint64_t decodeNumber(std::string_view bytes, std::size_t at) {
   std::uint64_t n = 0;
   std::memcpy(&n, bytes.data() + at, sizeof(n));
   return n;
@@ -128,17 +128,17 @@
 
 FileLogStore::Result FileLogStore::replaceFile(const std::string &name,
                                                const std::string &bytes) {
-  const std::string fresh = path(name) + ".new";
+  const std::string newPath = path(name) + ".new";
   const int fd =
-      ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
+      ::open(newPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0)
-    return tl::unexpected(unwritable(fresh));
+    return tl::unexpected(unwritable(newPath));
   const bool ok = writeAll(fd, bytes) && ::fsync(fd) == 0;
-  const LogStoreError error = unwritable(fresh);
+  const LogStoreError error = unwritable(newPath);
   ::close(fd);
   if (!ok)
     return tl::unexpected(error);
-  if (::rename(fresh.c_str(), path(name).c_str()) != 0 || !syncFolder(Folder))
+  if (::rename(newPath.c_str(), path(name).c_str()) != 0 || !syncFolder(Folder))
     return tl::unexpected(unwritable(path(name)));
   return {};
 }
@@ -146,19 +146,19 @@
 FileLogStore::Result FileLogStore::load(ReplicaId newId) {
   auto identity = readFile(path("identity"));
   if (!identity) {
-    identity = frameRecord(numberBytes(newId));
+    identity = frameRecord(encodeNumber(newId));
     if (const Result r = replaceFile("identity", *identity); !r)
       return r;
   }
   const auto id = readRecord(*identity, 0);
   if (!id)
     return tl::unexpected(corrupt("identity"));
-  Stored.Id = numberAt(*id, 0);
+  Stored.Id = decodeNumber(*id, 0);
   if (const auto ballot = readFile(path("ballot"))) {
     const auto payload = readRecord(*ballot, 0);
     if (!payload)
       return tl::unexpected(corrupt("ballot"));
-    Stored.Vote = {numberAt(*payload, 0), numberAt(*payload, 8)};
+    Stored.Vote = {decodeNumber(*payload, 0), decodeNumber(*payload, 8)};
   }
   if (const auto snapshot = readFile(path("snapshot"))) {
     const auto head = readRecord(*snapshot, 0);
@@ -248,10 +248,10 @@
 FileLogStore::Result
 FileLogStore::appendEntries(const std::vector<LogEntry> &entries) {
   const LogIndex first = entries.front().Index;
-  const std::size_t kept = first - FirstIndex;
-  if (kept < Offsets.size()) {
-    LogSize = Offsets[kept];
-    Offsets.resize(kept);
+  const std::size_t keptCount = first - FirstIndex;
+  if (keptCount < Offsets.size()) {
+    LogSize = Offsets[keptCount];
+    Offsets.resize(keptCount);
     if (::ftruncate(LogFd, static_cast<off_t>(LogSize)) != 0)
       return tl::unexpected(unwritable(path("log")));
     ::lseek(LogFd, 0, SEEK_END);
@@ -268,14 +268,14 @@
 }
 
 FileLogStore::Result FileLogStore::write(const LogWrite &write) {
-  if (Broken)
+  if (WriteFailed)
     return tl::unexpected(LogStoreError{LogStoreError::Kind::Unwritable,
                                         "an earlier write failed"});
   Result result;
   if (write.Vote)
     result =
-        replaceFile("ballot", frameRecord(numberBytes(write.Vote->Current) +
-                                          numberBytes(write.Vote->VotedFor)));
+        replaceFile("ballot", frameRecord(encodeNumber(write.Vote->Current) +
+                                          encodeNumber(write.Vote->VotedFor)));
   if (result && write.Snapshot) {
     result = writeSnapshot(*write.Snapshot);
     FirstIndex = write.Snapshot->LastIndex + 1;
@@ -284,20 +284,20 @@
   }
   if (result && !write.Entries.empty())
     result = appendEntries(write.Entries);
-  Broken = !result;
+  WriteFailed = !result;
   return result;
 }
 
 FileLogStore::Result FileLogStore::compact(const LogSnapshot &snapshot,
                                            const std::vector<LogEntry> &rest) {
-  if (Broken)
+  if (WriteFailed)
     return tl::unexpected(LogStoreError{LogStoreError::Kind::Unwritable,
                                         "an earlier write failed"});
   Result result = writeSnapshot(snapshot);
   FirstIndex = snapshot.LastIndex + 1;
   if (result)
     result = rewriteLog(rest);
-  Broken = !result;
+  WriteFailed = !result;
   return result;
 }
 
--- a/packages/consensus/pimentofront/src/Consensus/FileLogStore.h
+++ b/packages/consensus/pimentofront/src/Consensus/FileLogStore.h
@@ -53,7 +53,7 @@
   std::vector<std::uint64_t> Offsets;
   LogIndex FirstIndex = 1;
   /// A write has failed, maybe half way: all further writes are refused.
-  bool Broken = false;
+  bool WriteFailed = false;
   StoredLog Stored;
 };
 
--- a/packages/consensus/pimentofront/src/Consensus/GroupChange.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/GroupChange.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 /// A learner is promoted when it lacks at most this number of entries.
-constexpr LogIndex CaughtUpWithin = 16;
+constexpr LogIndex MaxLearnerLag = 16;
 
 } // namespace
 
 bool ReplicatedLog::changePending() const {
-  return GroupIndex > Committed || Committed < LeaderFrom;
+  return GroupIndex > Committed || Committed < TermStartIndex;
 }
 
 void ReplicatedLog::onJoin(TimePoint, const ReplicaDescriptor &replica) {
   if (Role == LogRole::Leader && !findReplica(replica.Id))
-    Joining[replica.Host] = replica;
+    PendingJoins[replica.Host] = replica;
 }
 
 bool ReplicatedLog::removeReplica(TimePoint now, std::uint64_t wallMilliseconds,
@@ -51,17 +51,17 @@
       return it.Id;
   if (voterCount() < Options.WantedVoters)
     return 0;
-  ReplicaId longest = 0;
-  TimePoint heard = now - Options.ReplaceAfter;
+  ReplicaId mostSilent = 0;
+  TimePoint lastReplyAt = now - Options.VoterReplaceTimeout;
   for (const ReplicaDescriptor &it : Group.Replicas) {
     const auto follower = Followers.find(it.Id);
     if (it.Learner || follower == Followers.end() ||
-        follower->second.HeardAt > heard)
+        follower->second.LastReplyAt > lastReplyAt)
       continue;
-    longest = it.Id;
-    heard = follower->second.HeardAt;
+    mostSilent = it.Id;
+    lastReplyAt = follower->second.LastReplyAt;
   }
-  return longest;
+  return mostSilent;
 }
 
 /// Proposes the next change of the group, once the previous one is committed.
@@ -70,10 +70,11 @@
 /// seems to be lost for good; then give the learner a vote. A learner doesn't
 /// count towards a quorum before that, so a replica that lost its disk can't be
 /// mistaken for one with the full log.
-void ReplicatedLog::reviewGroup(TimePoint now, std::uint64_t wallMilliseconds) {
+void ReplicatedLog::proposeNextGroupChange(TimePoint now,
+                                           std::uint64_t wallMilliseconds) {
   if (changePending())
     return;
-  for (const auto &joining : Joining) {
+  for (const auto &joining : PendingJoins) {
     const HostName &host = joining.first;
     const ReplicaDescriptor &replica = joining.second;
     if (findReplica(replica.Id))
@@ -88,12 +89,12 @@
     group.Replicas.back().Learner = true;
     return proposeGroup(now, wallMilliseconds, group);
   }
-  std::erase_if(Joining,
+  std::erase_if(PendingJoins,
                 [&](const auto &it) { return findReplica(it.second.Id); });
   for (const ReplicaDescriptor &it : Group.Replicas) {
     const auto follower = Followers.find(it.Id);
     if (!it.Learner || follower == Followers.end() ||
-        follower->second.Match + CaughtUpWithin < lastIndex())
+        follower->second.Match + MaxLearnerLag < lastIndex())
       continue;
     ReplicaGroup group = Group;
     if (const ReplicaId former = voterToReplace(now, it)) {
--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.cpp
@@ -52,7 +52,7 @@
     recomputeGroup();
 }
 
-void ReplicatedLog::cutFrom(LogIndex index) {
+void ReplicatedLog::truncateFrom(LogIndex index) {
   assert(index > Committed && "what is committed is never cut");
   while (lastIndex() >= index)
     Entries.pop_back();
@@ -150,16 +150,16 @@
 
 void ReplicatedLog::tick(TimePoint now, std::uint64_t wallMilliseconds) {
   if (Role == LogRole::Leader) {
-    const bool alone = quorumHeardAt() + Options.ElectionTimeout < now;
-    if (alone)
+    const bool quorumLost = quorumLastReplyAt() + Options.ElectionTimeout < now;
+    if (quorumLost)
       return becomeFollower(now, Vote.Current, 0);
-    reviewGroup(now, wallMilliseconds);
+    proposeNextGroupChange(now, wallMilliseconds);
     if (now >= NextHeartbeat)
       replicateAll(now);
     return;
   }
-  if (now >= ElectionAt && isVoter())
-    startElection(now, /*probe=*/true);
+  if (now >= ElectionDueAt && isVoter())
+    startElection(now, /*preVote=*/true);
 }
 
 std::optional<LogIndex> ReplicatedLog::propose(TimePoint now,
--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
@@ -22,7 +22,7 @@
   /// knows no leader, to ask early and repeatedly whether there is one. Long
   /// enough for others that started at the same time, which need some tens of
   /// milliseconds; replicas that ask at the same time may split the votes.
-  Duration FirstProbe = std::chrono::milliseconds(100);
+  Duration InitialPreVoteDelay = std::chrono::milliseconds(100);
   /// Subtracted from the leader's lease: the maximum clock drift between
   /// replicas during a lease.
   Duration ClockMargin = std::chrono::milliseconds(60);
@@ -36,7 +36,7 @@
   /// has caught up: the voter may be lost for good, and the next loss could
   /// then take the majority. Longer than a process is usually paused or takes
   /// to restart.
-  Duration ReplaceAfter = std::chrono::milliseconds(4500);
+  Duration VoterReplaceTimeout = std::chrono::milliseconds(4500);
   std::uint64_t Seed = 1;
 };
 
@@ -144,11 +144,11 @@
     LogIndex Next = 1;
     LogIndex Match = 0;
     /// When the latest round that it has answered was sent.
-    TimePoint HeardSince;
-    /// When its last reply arrived.
-    TimePoint HeardAt;
+    TimePoint AckedRoundSentAt;
+    /// When its last reply arrived, at first the start of this leader's term.
+    TimePoint LastReplyAt;
     /// A message with entries or a part of a snapshot is unacknowledged.
-    bool Waiting = false;
+    bool InFlight = false;
     TimePoint SentAt;
     std::uint64_t SnapshotOffset = 0;
     LogIndex SnapshotIndex = 0;
@@ -159,7 +159,7 @@
     TimePoint SentAt;
   };
   /// A snapshot of which some parts have arrived.
-  struct Incoming {
+  struct PartialSnapshot {
     LogIndex LastIndex = 0;
     Term LastTerm = 0;
     ReplicaGroup Group;
@@ -171,7 +171,7 @@
   Term termAt(LogIndex index) const;
   const LogEntry &entryAt(LogIndex index) const;
   void append(const LogEntry &entry);
-  void cutFrom(LogIndex index);
+  void truncateFrom(LogIndex index);
   void recomputeGroup();
   const ReplicaDescriptor *findReplica(ReplicaId id) const;
   std::size_t voterCount() const;
@@ -184,18 +184,18 @@
 
   // Election.cpp
   void becomeFollower(TimePoint now, Term term, ReplicaId leader);
-  void startElection(TimePoint now, bool probe, bool nobodyLeads = false);
+  void startElection(TimePoint now, bool preVote, bool nobodyLeads = false);
   /// \returns whether every other voter has replied to the pre-vote that it
   /// knows no leader in this term.
-  bool isKnownLeaderless() const;
+  bool noVoterKnowsLeader() const;
   void becomeLeader(TimePoint now, std::uint64_t wallMilliseconds);
   void onVoteRequest(TimePoint now, const VoteRequest &request);
   void onVoteReply(TimePoint now, std::uint64_t wallMilliseconds,
                    const VoteReply &reply);
   bool isUpToDate(const VoteRequest &request) const;
   void resetElectionTimer(TimePoint now);
-  TimePoint quorumHeardSince() const;
-  TimePoint quorumHeardAt() const;
+  TimePoint quorumAckedSince() const;
+  TimePoint quorumLastReplyAt() const;
 
   // Replication.cpp
   void replicateAll(TimePoint now);
@@ -207,17 +207,17 @@
   void onSnapshotPart(TimePoint now, const SnapshotPart &part);
   void onSnapshotReply(TimePoint now, const SnapshotReply &reply);
   bool acceptEntries(const AppendRequest &request);
-  void noteRound(TimePoint now, Progress &progress, std::uint64_t round);
+  void recordRound(TimePoint now, Progress &progress, std::uint64_t round);
   void advanceCommit();
   std::uint64_t beginRound(TimePoint now);
 
   // GroupChange.cpp
   /// \returns the voter that \p learner replaces, or 0 for none: the voter of
   /// its own host, or if there are `WantedVoters` the one that has been silent
-  /// for longest, at least for `ReplaceAfter`.
+  /// for longest, at least for `VoterReplaceTimeout`.
   ReplicaId voterToReplace(TimePoint now,
                            const ReplicaDescriptor &learner) const;
-  void reviewGroup(TimePoint now, std::uint64_t wallMilliseconds);
+  void proposeNextGroupChange(TimePoint now, std::uint64_t wallMilliseconds);
   bool changePending() const;
   void proposeGroup(TimePoint now, std::uint64_t wallMilliseconds,
                     const ReplicaGroup &group);
@@ -236,12 +236,12 @@
 
   LogRole Role = LogRole::Follower;
   ReplicaId Leader = 0;
-  bool Probing = false;
+  bool PreVoting = false;
   std::set<ReplicaId> Votes;
   /// Voters that replied to the pre-vote and know no leader in this term.
-  std::set<ReplicaId> Leaderless;
-  TimePoint LeaderHeardAt;
-  TimePoint ElectionAt;
+  std::set<ReplicaId> VotersWithoutLeader;
+  TimePoint LeaderLastSeenAt;
+  TimePoint ElectionDueAt;
   /// No vote is granted before this time, since this replica may have
   /// acknowledged a leader's lease before it restarted.
   TimePoint NoVoteBefore;
@@ -251,9 +251,9 @@
   std::deque<Round> Rounds;
   std::uint64_t LastRound = 0;
   TimePoint NextHeartbeat;
-  LogIndex LeaderFrom = 0;
-  std::map<HostName, ReplicaDescriptor> Joining;
-  std::optional<Incoming> Arriving;
+  LogIndex TermStartIndex = 0;
+  std::map<HostName, ReplicaDescriptor> PendingJoins;
+  std::optional<PartialSnapshot> IncomingSnapshot;
   LogActions Actions;
 };
 
--- a/packages/consensus/pimentofront/src/Consensus/Replication.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/Replication.cpp
@@ -7,23 +7,23 @@
 namespace pimentofront {
 namespace {
 
-constexpr std::size_t RoundsKept = 256;
+constexpr std::size_t MaxRounds = 256;
 
 } // namespace
 
 std::uint64_t ReplicatedLog::beginRound(TimePoint now) {
   Rounds.push_back({++LastRound, now});
-  if (Rounds.size() > RoundsKept)
+  if (Rounds.size() > MaxRounds)
     Rounds.pop_front();
   return LastRound;
 }
 
-void ReplicatedLog::noteRound(TimePoint now, Progress &progress,
-                              std::uint64_t round) {
-  progress.HeardAt = now;
+void ReplicatedLog::recordRound(TimePoint now, Progress &progress,
+                                std::uint64_t round) {
+  progress.LastReplyAt = now;
   const auto it = std::ranges::find(Rounds, round, &Round::Number);
   if (it != Rounds.end())
-    progress.HeardSince = std::max(progress.HeardSince, it->SentAt);
+    progress.AckedRoundSentAt = std::max(progress.AckedRoundSentAt, it->SentAt);
 }
 
 void ReplicatedLog::replicateAll(TimePoint now) {
@@ -36,8 +36,8 @@
 
 void ReplicatedLog::replicate(TimePoint now, const ReplicaDescriptor &to) {
   Progress &progress = Followers[to.Id];
-  if (progress.HeardAt == TimePoint())
-    progress.HeardAt = now;
+  if (progress.LastReplyAt == TimePoint())
+    progress.LastReplyAt = now;
   if (progress.Next <= Snapshot.LastIndex)
     return sendSnapshotPart(now, to, progress);
   AppendRequest request{.From = Id,
@@ -48,10 +48,10 @@
                         .Round = beginRound(now)};
   // Unacknowledged entries are resent only after an election timeout, when they
   // may have been lost.
-  const bool hold =
-      progress.Waiting && now < progress.SentAt + Options.ElectionTimeout;
+  const bool awaitReply =
+      progress.InFlight && now < progress.SentAt + Options.ElectionTimeout;
   std::size_t bytes = 0;
-  for (LogIndex i = progress.Next; !hold && i <= lastIndex(); ++i) {
+  for (LogIndex i = progress.Next; !awaitReply && i <= lastIndex(); ++i) {
     const LogEntry &entry = entryAt(i);
     bytes += entry.Data.size();
     if (!request.Entries.empty() && bytes > Options.MaxBatchBytes)
@@ -59,7 +59,7 @@
     request.Entries.push_back(entry);
   }
   if (!request.Entries.empty()) {
-    progress.Waiting = true;
+    progress.InFlight = true;
     progress.SentAt = now;
   }
   sendTo(to, std::move(request));
@@ -70,7 +70,7 @@
   if (progress.SnapshotIndex != Snapshot.LastIndex) {
     progress.SnapshotIndex = Snapshot.LastIndex;
     progress.SnapshotOffset = 0;
-    progress.Waiting = false;
+    progress.InFlight = false;
   }
   SnapshotPart part{.From = Id,
                     .LeaderTerm = Vote.Current,
@@ -80,9 +80,9 @@
                     .Offset = progress.SnapshotOffset,
                     .TotalSize = Snapshot.state().size(),
                     .Round = beginRound(now)};
-  const bool hold =
-      progress.Waiting && now < progress.SentAt + Options.ElectionTimeout;
-  if (hold) {
+  const bool awaitReply =
+      progress.InFlight && now < progress.SentAt + Options.ElectionTimeout;
+  if (awaitReply) {
     // A heartbeat, so that the follower starts no election while the part is
     // unacknowledged.
     return sendTo(to, AppendRequest{.From = Id,
@@ -94,7 +94,7 @@
   }
   part.Data = Snapshot.state().substr(progress.SnapshotOffset,
                                       Options.SnapshotPartBytes);
-  progress.Waiting = true;
+  progress.InFlight = true;
   progress.SentAt = now;
   sendTo(to, std::move(part));
 }
@@ -110,7 +110,7 @@
   if (request.LeaderTerm < Vote.Current)
     return sendTo(request.From, reply);
   becomeFollower(now, request.LeaderTerm, request.From);
-  LeaderHeardAt = now;
+  LeaderLastSeenAt = now;
   resetElectionTimer(now);
   reply.FollowerTerm = Vote.Current;
   reply.Matched = acceptEntries(request);
@@ -141,7 +141,7 @@
     if (it.Index <= Committed || it.Index > lastIndex() + 1)
       return false;
     if (it.Index <= lastIndex())
-      cutFrom(it.Index);
+      truncateFrom(it.Index);
     append(it);
   }
   return true;
@@ -155,25 +155,26 @@
   if (part.LeaderTerm < Vote.Current)
     return sendTo(part.From, reply);
   becomeFollower(now, part.LeaderTerm, part.From);
-  LeaderHeardAt = now;
+  LeaderLastSeenAt = now;
   resetElectionTimer(now);
   reply.FollowerTerm = Vote.Current;
   if (part.LastIndex <= Committed) {
     reply.Received = part.TotalSize; // All of it is in the log already.
     return sendTo(part.From, reply);
   }
-  if (!Arriving || Arriving->LastIndex != part.LastIndex ||
-      Arriving->LastTerm != part.LastTerm)
-    Arriving =
-        Incoming{part.LastIndex, part.LastTerm, part.Group, part.TotalSize};
-  std::string &state = Arriving->State;
+  if (!IncomingSnapshot || IncomingSnapshot->LastIndex != part.LastIndex ||
+      IncomingSnapshot->LastTerm != part.LastTerm)
+    IncomingSnapshot = PartialSnapshot{part.LastIndex, part.LastTerm,
+                                       part.Group, part.TotalSize};
+  std::string &state = IncomingSnapshot->State;
   if (part.Offset == state.size())
     state += part.Data;
   reply.Received = state.size();
-  if (state.size() >= Arriving->TotalSize) {
-    Snapshot = LogSnapshot::make(Arriving->LastIndex, Arriving->LastTerm,
-                                 Arriving->Group, std::move(state));
-    Arriving.reset();
+  if (state.size() >= IncomingSnapshot->TotalSize) {
+    Snapshot = LogSnapshot::make(IncomingSnapshot->LastIndex,
+                                 IncomingSnapshot->LastTerm,
+                                 IncomingSnapshot->Group, std::move(state));
+    IncomingSnapshot.reset();
     Entries.clear();
     Actions.Write.Entries.clear();
     Actions.Write.Snapshot = Snapshot;
@@ -197,24 +198,24 @@
       reply.FollowerTerm < Vote.Current)
     return;
   Progress &progress = it->second;
-  noteRound(now, progress, reply.Round);
+  recordRound(now, progress, reply.Round);
   const ReplicaDescriptor *to = findReplica(reply.From);
   if (progress.Next <= Snapshot.LastIndex && !reply.Matched)
     return; // It is receiving a snapshot.
   if (!reply.Matched) {
     progress.Next = std::min(progress.Next, reply.Index + 1);
-    progress.Waiting = false;
+    progress.InFlight = false;
     if (to)
       replicate(now, *to);
     return;
   }
-  const bool news = reply.Index > progress.Match;
+  const bool advanced = reply.Index > progress.Match;
   progress.Match = std::max(progress.Match, reply.Index);
   progress.Next = std::max(progress.Next, progress.Match + 1);
-  if (news)
-    progress.Waiting = false;
+  if (advanced)
+    progress.InFlight = false;
   advanceCommit();
-  if (to && !progress.Waiting && progress.Next <= lastIndex())
+  if (to && !progress.InFlight && progress.Next <= lastIndex())
     replicate(now, *to);
 }
 
@@ -225,11 +226,11 @@
   if (Role != LogRole::Leader || it == Followers.end())
     return;
   Progress &progress = it->second;
-  noteRound(now, progress, reply.Round);
+  recordRound(now, progress, reply.Round);
   if (reply.LastIndex != Snapshot.LastIndex ||
       progress.Next > Snapshot.LastIndex)
     return;
-  progress.Waiting = false;
+  progress.InFlight = false;
   progress.SnapshotOffset = reply.Received;
   if (reply.Received >= Snapshot.state().size()) {
     progress.Match = std::max(progress.Match, reply.LastIndex);
