--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
@@ -129,7 +129,8 @@
   /// that its state may be read and tickets may be issued.
   bool holdsLease(TimePoint now) const;
   /// \returns the index up to which the state machine must have applied the log
-  /// to serve a linearizable read; nothing without a lease.
+  /// to serve a linearizable read; nothing without a lease, or before an entry
+  /// of this leader's term is committed.
   std::optional<LogIndex> readIndex(TimePoint now) const;
   /// \returns a snapshot that covers all entries up to \p index.
   /// \param state the encoded state of the state machine after \p index.
--- a/test/ConsensusTest.cpp
+++ b/test/ConsensusTest.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// The stored log of replica 1 of a group of three.
-StoredLog storedOfThree(Term term) {
+StoredLog storedGroupOfThree(Term term) {
   StoredLog stored{.Id = 1, .Vote = {.Current = term}};
   stored.Snapshot = {.LastIndex = 1, .LastTerm = 1};
   for (ReplicaId id = 1; id <= 3; ++id)
@@ -57,12 +57,12 @@
 }
 
 TEST_CASE("a log that has a group can't be bootstrapped again") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   CHECK_FALSE(log.bootstrap(Start, 0));
 }
 
 TEST_CASE("a replica that has just started grants no vote") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   const VoteRequest request{
       .From = 2, .CandidateTerm = 5, .LastIndex = 9, .LastTerm = 4};
   log.onMessage(Start + 10ms, 0, request);
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("a replica votes once per term and only for an up-to-date log") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   const TimePoint now = Start + 1s;
   log.onMessage(now, 0, VoteRequest{2, 5, 0, 0, false});
   CHECK_FALSE(sent<VoteReply>(log).at(0).Granted);
@@ -87,7 +87,7 @@
 }
 
 TEST_CASE("a vote request doesn't change the term while there is a leader") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   log.onMessage(
       Start + 1s, 0,
       AppendRequest{
@@ -98,7 +98,7 @@
 
 TEST_CASE("a replica with a lost disk has another identity whose vote doesn't "
           "count") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   const TimePoint now = Start + 5s;
   log.tick(now, 0);
   log.onMessage(now, 0, VoteReply{99, 1, 2, true, true});
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("a leader's lease counts from when its request was sent") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   const TimePoint now = Start + 5s;
   elect(log, now);
   CHECK_FALSE(log.holdsLease(now));
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE("a leader without replies from a quorum steps down") {
-  ReplicatedLog log(Start, {}, storedOfThree(1));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   elect(log, Start + 5s);
   log.tick(Start + 5500ms, 0);
   CHECK(log.role() == LogRole::Leader);
@@ -130,7 +130,7 @@
 }
 
 TEST_CASE("an entry of an earlier term isn't committed by counting replicas") {
-  StoredLog stored = storedOfThree(1);
+  StoredLog stored = storedGroupOfThree(1);
   stored.Entries = {{1, 2, EntryKind::Command, 0, "old"}};
   ReplicatedLog log(Start, {}, stored);
   elect(log, Start + 5s);
@@ -143,7 +143,7 @@
 }
 
 TEST_CASE("a follower truncates conflicting entries but never committed ones") {
-  StoredLog stored = storedOfThree(3);
+  StoredLog stored = storedGroupOfThree(3);
   stored.Entries = {{2, 2, EntryKind::Command, 0, "a"},
                     {2, 3, EntryKind::Command, 0, "b"}};
   ReplicatedLog log(Start, {}, stored);
@@ -171,11 +171,11 @@
 
 /// Replica 1 as the leader of a group of three, with simulated followers.
 struct LeaderOfThree {
-  LeaderOfThree() : Log(Start, {}, storedOfThree(1)) { elect(Log, Now); }
+  LeaderOfThree() : Log(Start, {}, storedGroupOfThree(1)) { elect(Log, Now); }
 
   /// Runs the leader for \p time, with replicas \p alive answering its
   /// messages.
-  void play(Duration time, const std::set<ReplicaId> &alive) {
+  void run(Duration time, const std::set<ReplicaId> &alive) {
     for (const TimePoint end = Now + time; Now < end; Now += 50ms) {
       Log.tick(Now, 0);
       const LogActions actions = Log.takeActions();
@@ -210,23 +210,23 @@
 TEST_CASE(
     "a learner of another host replaces a voter that is silent for too long") {
   LeaderOfThree leader;
-  leader.play(500ms, {2, 3});
+  leader.run(500ms, {2, 3});
   const JoinRequest join{
       {.Id = 4, .Host = HostName("n4"), .Address = "b", .Learner = true}};
   SECTION("not one that replies") {
     leader.Log.onMessage(leader.Now, 0, join);
-    leader.play(10s, {2, 3, 4});
+    leader.run(10s, {2, 3, 4});
     CHECK(leader.voters() == std::set<ReplicaId>{1, 2, 3});
   }
   SECTION("not one that is silent for less than the limit") {
     leader.Log.onMessage(leader.Now, 0, join);
-    leader.play(4s, {2, 4});
+    leader.run(4s, {2, 4});
     CHECK(leader.voters() == std::set<ReplicaId>{1, 2, 3});
   }
   SECTION("one that is silent for longer than the limit") {
-    leader.play(2s, {2});
+    leader.run(2s, {2});
     leader.Log.onMessage(leader.Now, 0, join);
-    leader.play(4s, {2, 4});
+    leader.run(4s, {2, 4});
     CHECK(leader.voters() == std::set<ReplicaId>{1, 2, 4});
     CHECK(leader.Log.role() == LogRole::Leader);
   }
@@ -235,7 +235,8 @@
 namespace {
 
 /// The reply of a voter that denies a pre-vote.
-VoteReply answerOf(ReplicaId from, Term term, Term asked, bool justStarted) {
+VoteReply deniedPreVote(ReplicaId from, Term term, Term asked,
+                        bool justStarted) {
   return {.From = from,
           .VoterTerm = term,
           .CandidateTerm = asked,
@@ -249,15 +250,15 @@
 // After a power failure of all replicas nobody holds a lease any more. Waiting
 // for the end of one added 0.4 to 0.8 s to each recovery.
 TEST_CASE("after a power failure of all replicas none waits for a lease") {
-  ReplicatedLog log(Start, {}, storedOfThree(4));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(4));
   const TimePoint now = Start + 200ms;
   log.tick(now, 0);
   REQUIRE(log.role() == LogRole::Candidate);
   REQUIRE(sent<VoteRequest>(log).at(0).Probe);
-  log.onMessage(now, 0, answerOf(2, 4, 5, true));
+  log.onMessage(now, 0, deniedPreVote(2, 4, 5, true));
   CHECK(sent<VoteRequest>(log).empty()); // Replica 3 may be the leader.
   SECTION("no voter knows a leader") {
-    log.onMessage(now, 0, answerOf(3, 4, 5, true));
+    log.onMessage(now, 0, deniedPreVote(3, 4, 5, true));
     const auto asked = sent<VoteRequest>(log);
     REQUIRE(asked.size() == 2);
     CHECK(asked[0].NobodyLeads);
@@ -266,17 +267,17 @@
     CHECK(log.role() == LogRole::Leader);
   }
   SECTION("one voter knows a leader") {
-    log.onMessage(now, 0, answerOf(3, 4, 5, false));
+    log.onMessage(now, 0, deniedPreVote(3, 4, 5, false));
     CHECK(sent<VoteRequest>(log).empty());
   }
   SECTION(
       "one voter is in an earlier term, where it may still extend a lease") {
-    log.onMessage(now, 0, answerOf(3, 3, 5, true));
+    log.onMessage(now, 0, deniedPreVote(3, 3, 5, true));
     CHECK(sent<VoteRequest>(log).empty());
   }
   SECTION(
       "a quorum isn't enough while its own vote is withheld after the start") {
-    VoteReply granted = answerOf(2, 4, 5, false);
+    VoteReply granted = deniedPreVote(2, 4, 5, false);
     granted.Granted = true;
     log.onMessage(now, 0, granted);
     CHECK(sent<VoteRequest>(log).empty());
@@ -285,7 +286,7 @@
 
 TEST_CASE("a voter reports whether it denies a pre-vote only because it just "
           "started") {
-  ReplicatedLog log(Start, {}, storedOfThree(4));
+  ReplicatedLog log(Start, {}, storedGroupOfThree(4));
   const TimePoint now = Start + 100ms;
   const VoteRequest probe{.From = 2,
                           .CandidateTerm = 5,
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -29,11 +29,11 @@
   CommandResult claim(std::uint64_t n, std::uint64_t by = 1) {
     return Ledger.claim({content(n), attempt(by), 5s}).Result;
   }
-  void give(std::uint64_t n, TrialEnding ending, std::uint64_t by = 1) {
+  void endTrial(std::uint64_t n, TrialEnding ending, std::uint64_t by = 1) {
     Ledger.end({content(n), attempt(by), ending});
   }
   /// A trial of \p n that crashes \p process.
-  void failedTrial(std::uint64_t n, const ServerProcess &process) {
+  void crashingTrial(std::uint64_t n, const ServerProcess &process) {
     REQUIRE(claim(n) == CommandResult::Accepted);
     Ledger.report({process, {{content(n), false, attempt(1)}}});
   }
@@ -57,9 +57,9 @@
   CHECK(it.claim(1, 1) == Granted);
   CHECK(it.claim(1, 1) == Granted); // Resent: the reply was lost.
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
-  it.give(1, TrialEnding::NotRun, 2); // Not the holder.
+  it.endTrial(1, TrialEnding::NotRun, 2); // Not the holder.
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
-  it.give(1, TrialEnding::NotRun, 1);
+  it.endTrial(1, TrialEnding::NotRun, 1);
   CHECK(it.claim(1, 2) == Granted);
 }
 
@@ -67,8 +67,8 @@
     "three crashes, in one of them the only suspect, lead to quarantine") {
   LedgerUnderTest it;
   it.end(server("s1"), {1, 2, 3});
-  it.failedTrial(1, server("s2"));
-  it.failedTrial(1, server("s3"));
+  it.crashingTrial(1, server("s2"));
+  it.crashingTrial(1, server("s3"));
   CHECK(it.claim(1) == Quarantined);
   CHECK(it.Ledger.find(content(1))->Quarantined);
   CHECK(it.claim(2) == Granted);
@@ -91,8 +91,8 @@
   LedgerUnderTest it;
   const ServerProcess known = server("s1");
   it.end(known, {1});
-  it.failedTrial(1, known);
-  it.failedTrial(1, known);
+  it.crashingTrial(1, known);
+  it.crashingTrial(1, known);
   CHECK(it.Ledger.find(content(1))->Ends.size() == 3);
   CHECK(it.claim(1) == Quarantined);
 }
@@ -113,10 +113,10 @@
   for (const char *name : {"s1", "s2", "s3", "s4"}) {
     it.end(server(name), {1, 2});
     CHECK(it.claim(1) == Granted);
-    it.give(1, TrialEnding::NotRun);
+    it.endTrial(1, TrialEnding::NotRun);
   }
   SECTION("when one is cleared the other one is quarantined") {
-    it.give(2, TrialEnding::Survived);
+    it.endTrial(2, TrialEnding::Survived);
     CHECK(it.Ledger.find(content(2)) == nullptr);
     CHECK(it.claim(1) == Quarantined);
   }
@@ -132,7 +132,7 @@
   for (const char *name : {"s1", "s2", "s3", "s4"})
     it.end(server(name), {1}, /*answering=*/true);
   CHECK(it.claim(1) == Granted);
-  it.give(1, TrialEnding::NotRun);
+  it.endTrial(1, TrialEnding::NotRun);
   it.end(server("s5"), {1}, /*answering=*/true);
   CHECK(it.claim(1) == Quarantined);
 }
@@ -143,13 +143,13 @@
     it.end(server(name), {1, 2});
   for (int i = 0; i < 2; ++i) {
     CHECK(it.claim(1) == Granted);
-    it.give(1, TrialEnding::Unclear);
+    it.endTrial(1, TrialEnding::Unclear);
   }
   CHECK(it.claim(1) == Quarantined);
   // A trial that reached no server doesn't count.
   for (int i = 0; i < 9; ++i) {
     CHECK(it.claim(2) == Granted);
-    it.give(2, TrialEnding::NotRun);
+    it.endTrial(2, TrialEnding::NotRun);
   }
 }
 
@@ -169,11 +169,11 @@
   pass(Now + 10min);
   SECTION("the server survives it") {
     CHECK(it.claim(1) == Granted);
-    it.give(1, TrialEnding::Survived);
+    it.endTrial(1, TrialEnding::Survived);
     CHECK(it.claim(1) == CommandResult::NotFound);
   }
   SECTION("the server crashes, and the time doubles") {
-    it.failedTrial(1, server("s4"));
+    it.crashingTrial(1, server("s4"));
     CHECK(it.claim(1) == Quarantined);
     pass(Now + 11min);
     pass(Now + 22min);
@@ -189,8 +189,8 @@
   }
 }
 
-TEST_CASE("a watched request that nobody resends is removed, also after a lost "
-          "trial") {
+TEST_CASE(
+    "a watched request without retries is removed also after a lost trial") {
   LedgerUnderTest it;
   QuarantineReview review({.WatchRetention = 1min});
   it.end(server("s1"), {1, 2});
--- a/test/StateTest.cpp
+++ b/test/StateTest.cpp
@@ -398,17 +398,17 @@
 TEST_CASE(
     "a deregistration without an incarnation removes the current process") {
   TableUnderTest it;
-  const MemberRecord goodbye{
+  const MemberRecord deregistration{
       .Host = HostName("s"), .Gone = true, .Registered = true};
   CHECK(it.announce(0s, process("s", 5000), 3));
-  it.announce(1s, goodbye, 0);
+  it.announce(1s, deregistration, 0);
   CHECK(it.startOf("s") == 0);
   // A heartbeat from before the deregistration arrives late.
   CHECK_FALSE(it.announce(2s, process("s", 5000), 4));
   // The deregistration doesn't apply to the next process.
   CHECK(it.announce(3s, process("s", 6000), 1));
   // If it came from a former process, the running one is accepted again later.
-  it.announce(4s, goodbye, 0);
+  it.announce(4s, deregistration, 0);
   CHECK_FALSE(it.announce(10s, process("s", 6000), 7));
   CHECK(it.announce(20s, process("s", 6000), 15));
 }
