--- a/test/ConsensusTest.cpp
+++ b/test/ConsensusTest.cpp
@@ -96,8 +96,7 @@
   CHECK(log.term() == 2);
 }
 
-TEST_CASE("a replica with a lost disk has another identity whose vote doesn't "
-          "count") {
+TEST_CASE("a lost disk gives a new identity, whose vote doesn't count") {
   ReplicatedLog log(Start, {}, storedGroupOfThree(1));
   const TimePoint now = Start + 5s;
   log.tick(now, 0);
@@ -284,8 +283,8 @@
   }
 }
 
-TEST_CASE("a voter reports whether it denies a pre-vote only because it just "
-          "started") {
+TEST_CASE(
+    "a pre-vote reply says whether only the voter's recent start denies it") {
   ReplicatedLog log(Start, {}, storedGroupOfThree(4));
   const TimePoint now = Start + 100ms;
   const VoteRequest probe{.From = 2,
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -126,8 +126,8 @@
   }
 }
 
-TEST_CASE("a request that was being answered is quarantined only by the fifth "
-          "crash") {
+TEST_CASE(
+    "a request that was being answered takes five crashes to quarantine") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3", "s4"})
     it.end(server(name), {1}, /*answering=*/true);
--- a/test/StateTest.cpp
+++ b/test/StateTest.cpp
@@ -221,8 +221,8 @@
   CHECK(leader.updateSince(follower.version())->Full);
 }
 
-TEST_CASE("a member's lease expires, and a new leader's table is complete "
-          "after one") {
+TEST_CASE(
+    "a lease expires, and a new leader's table is complete after one lease") {
   MemberTable table({.Lease = 6s});
   const TimePoint now{100s};
   table.beginTerm(now, 1);
@@ -373,8 +373,8 @@
   CHECK(it.startOf("s") == 2000);
 }
 
-TEST_CASE("a process with an earlier start time is accepted when the other is "
-          "silent") {
+TEST_CASE(
+    "a process with an earlier start is accepted if the other is silent") {
   TableUnderTest it;
   CHECK(it.announce(0s, process("s", 5000), 3));
   CHECK_FALSE(it.announce(1s, process("s", 4000), 1));
