--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.cpp
@@ -52,7 +52,7 @@
     recomputeGroup();
 }
 
-void ReplicatedLog::cutFrom(LogIndex index) {
+void ReplicatedLog::truncateFrom(LogIndex index) {
   assert(index > Committed && "what is committed is never cut");
   while (lastIndex() >= index)
     Entries.pop_back();
@@ -62,7 +62,8 @@
   recomputeGroup();
 }
 
-/// The group in force is that of the latest entry, committed or not.
+/// Sets the group to that of the latest group entry in the log, committed or
+/// not.
 void ReplicatedLog::recomputeGroup() {
   for (auto it = Entries.rbegin(); it != Entries.rend(); ++it) {
     if (it->Kind != EntryKind::Group)
@@ -101,8 +102,8 @@
 }
 
 void ReplicatedLog::sendTo(ReplicaId to, Message message) {
-  // A learner that has no group yet answers by identity alone; the shell
-  // knows the link on which that identity speaks.
+  // A learner without a group knows only the identity of the sender. The caller
+  // of this class maps the identity to a connection.
   const ReplicaDescriptor *known = findReplica(to);
   sendTo(known ? *known : ReplicaDescriptor{.Id = to}, std::move(message));
 }
@@ -149,16 +150,16 @@
 
 void ReplicatedLog::tick(TimePoint now, std::uint64_t wallMilliseconds) {
   if (Role == LogRole::Leader) {
-    const bool alone = quorumHeardAt() + Options.ElectionTimeout < now;
-    if (alone)
+    const bool quorumLost = quorumLastReplyAt() + Options.ElectionTimeout < now;
+    if (quorumLost)
       return becomeFollower(now, Vote.Current, 0);
-    reviewGroup(now, wallMilliseconds);
+    proposeNextGroupChange(now, wallMilliseconds);
     if (now >= NextHeartbeat)
       replicateAll(now);
     return;
   }
-  if (now >= ElectionAt && isVoter())
-    startElection(now, /*probe=*/true);
+  if (now >= ElectionDueAt && isVoter())
+    startElection(now, /*preVote=*/true);
 }
 
 std::optional<LogIndex> ReplicatedLog::propose(TimePoint now,
@@ -171,7 +172,7 @@
           .Kind = EntryKind::Command,
           .WallMilliseconds = wallMilliseconds,
           .Data = std::move(command)});
-  NextHeartbeat = now; // Goes out with the next tick or batch.
+  NextHeartbeat = now; // Sends it at the next tick() or synced().
   return lastIndex();
 }
 
