--- a/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
@@ -33,8 +33,8 @@
 void AllotmentLeases::recordUse(TimePoint now, Lease &lease,
                                 double units) const {
   const double halfLife = toSeconds(Options.UsageHalfLife);
-  lease.UsageRate = lease.UsageRate * remainingShare(now - lease.LastUsedAt,
-                                                     Options.UsageHalfLife) +
+  lease.UsageRate = lease.UsageRate * decayFactor(now - lease.LastUsedAt,
+                                                  Options.UsageHalfLife) +
                     units * std::log(2) / halfLife;
   constexpr double NewestShare = 0.2;
   lease.TypicalUnits =
@@ -72,7 +72,7 @@
     lease.Reserved += charge.Units;
     return charge;
   }
-  charge.Now = AllotmentCharge::State::Asked;
+  charge.Now = AllotmentCharge::State::Pending;
   lease.Queue.push_back({.Key = key, .Units = charge.Units});
   Urgent = true;
   return charge;
@@ -101,7 +101,7 @@
   if (it == Leases.end())
     return;
   Lease &lease = it->second;
-  if (before == AllotmentCharge::State::Asked) {
+  if (before == AllotmentCharge::State::Pending) {
     std::erase_if(lease.Queue,
                   [&](const auto &waiting) { return waiting.Key == key; });
     return;
@@ -142,7 +142,7 @@
   lease.Free -= surplus;
   use.Returned = ceilUnits(surplus);
   use.Spent = ceilUnits(std::exchange(lease.Spent, 0));
-  use.Wished = ceilUnits(target - lease.Free);
+  use.Desired = ceilUnits(target - lease.Free);
   return use;
 }
 
@@ -214,7 +214,7 @@
       stillWaiting.push_back(waiting);
       lease.NextQueryAt = now + Options.QueryRetryDelay;
       Urgent = true;
-    } else if (met < grant.Met && lease.Free >= waiting.Units) {
+    } else if (met < grant.NeedsMet && lease.Free >= waiting.Units) {
       ++met;
       lease.Free -= waiting.Units;
       lease.Reserved += waiting.Units;
@@ -230,7 +230,7 @@
           fromSeconds(unitsAhead / std::max(lease.Rate, 1.0));
       unitsAhead += waiting.Units;
       decisions.push_back({.Key = waiting.Key,
-                           .ComeBack = grant.ComeBack + extraDelay,
+                           .RetryAfter = grant.RetryAfter + extraDelay,
                            .Level = grant.Level,
                            .Age = now - queriedAt});
     }
@@ -258,7 +258,7 @@
     }
 }
 
-bool AllotmentLeases::unanswered(TimePoint now) const {
+bool AllotmentLeases::hasOverdueQuery(TimePoint now) const {
   return std::ranges::any_of(Queries, [&](const auto &it) {
     return it.second.Waits && now >= it.second.QueriedAt + Options.QueryTimeout;
   });
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.h
@@ -37,7 +37,7 @@
     /// The account has no limit, or the units have been spent or released.
     None,
     /// Waiting for the ledger's decision.
-    Asked,
+    Pending,
     /// The units are reserved: the request may be sent.
     Reserved,
   };
@@ -57,7 +57,7 @@
   AllotmentCharge Charge;
   /// Retry-after delay of a request beyond the limit: the time until its units
   /// are available.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   /// Units that the account had left, and how long ago the ledger was asked.
   std::uint64_t Level = 0;
   Duration Age = Duration::zero();
@@ -98,7 +98,7 @@
   void spendAgain(TimePoint now, const ClientAccount &account, double units);
 
   /// \returns whether takeReport() may return a report.
-  bool wantsReport(TimePoint now) const {
+  bool isReportDue(TimePoint now) const {
     return !Leases.empty() && (Urgent || now >= NextReportAt);
   }
   /// \returns the report to send to the leader now, if one is due.
@@ -110,7 +110,7 @@
   void onLinkLost();
   /// \returns whether a query on which a request waits has had no answer within
   /// QueryTimeout.
-  bool unanswered(TimePoint now) const;
+  bool hasOverdueQuery(TimePoint now) const;
 
 private:
   struct Waiting {
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
@@ -35,7 +35,7 @@
     fill(now, account);
     account.Bucket = AllotmentBucket::of(Limits.find(name)->Limit, Rules);
     account.Level =
-        std::min(account.Level, account.Bucket.MaxLevel - account.Lent);
+        std::min(account.Level, account.Bucket.MaxLevel - account.LeasedUnits);
   }
 }
 
@@ -62,7 +62,7 @@
   const double units = account.Bucket.Rate * toSeconds(now - account.FilledAt);
   account.FilledAt = now;
   account.PromisedUnits = std::max(account.PromisedUnits - units, 0.0);
-  const double maxLevel = account.Bucket.MaxLevel - account.Lent;
+  const double maxLevel = account.Bucket.MaxLevel - account.LeasedUnits;
   if (account.Level < maxLevel)
     account.Level = std::min(account.Level + units, maxLevel);
   account.OwnLevel = std::min(account.OwnLevel + units, account.Bucket.Burst);
@@ -76,7 +76,7 @@
     const Lease &lease = it.second;
     const bool over = now >= lease.ExpiresAt;
     if (over)
-      account.Lent -= lease.Units;
+      account.LeasedUnits -= lease.Units;
     else
       account.NextExpiry = std::min(account.NextExpiry, lease.ExpiresAt);
     return over;
@@ -89,14 +89,14 @@
   const double returned =
       std::min(static_cast<double>(use.Returned), lease.Units);
   lease.Units -= returned;
-  account.Lent -= returned;
+  account.LeasedUnits -= returned;
   account.Level += returned;
   account.OwnLevel =
       std::min(account.OwnLevel + returned, account.Bucket.Burst);
   // A request that was sent again may have spent more units than were leased.
   const double leased = std::min(spent, lease.Units);
   lease.Units -= leased;
-  account.Lent -= leased;
+  account.LeasedUnits -= leased;
   account.Level -= spent - leased;
 }
 
@@ -114,24 +114,24 @@
     const auto need = static_cast<double>(it);
     const double missing = account.missingFor(need);
     if (missing > 0) {
-      grant.ComeBack =
+      grant.RetryAfter =
           fromSeconds((missing + account.PromisedUnits) / bucket.Rate);
       account.PromisedUnits = std::min(account.PromisedUnits + need,
                                        MaxPromisedSeconds * bucket.Rate);
-      account.Refused += use.Needs.size() - grant.Met;
+      account.Refused += use.Needs.size() - grant.NeedsMet;
       break;
     }
     account.Level -= need;
     account.OwnLevel -= need;
-    account.Lent += need;
+    account.LeasedUnits += need;
     units += need;
-    ++grant.Met;
+    ++grant.NeedsMet;
   }
-  if (grant.Met == use.Needs.size()) {
-    const double inAdvance = std::floor(
-        Sizing.advance(bucket, static_cast<double>(use.Wished), account.Level));
+  if (grant.NeedsMet == use.Needs.size()) {
+    const double inAdvance = std::floor(Sizing.advance(
+        bucket, static_cast<double>(use.Desired), account.Level));
     account.Level -= inAdvance;
-    account.Lent += inAdvance;
+    account.LeasedUnits += inAdvance;
     units += inAdvance;
   }
   lease.Units += units;
@@ -152,7 +152,8 @@
       // The account has no limit, or none any more: grant all units asked for.
       AllotmentGrant all{.Account = use.Account,
                          .Decided = Limits.required(),
-                         .Met = static_cast<std::uint32_t>(use.Needs.size())};
+                         .NeedsMet =
+                             static_cast<std::uint32_t>(use.Needs.size())};
       for (const std::uint64_t it : use.Needs)
         all.Units += it;
       grants.Grants.push_back(std::move(all));
@@ -210,7 +211,7 @@
       fill(now, account);
       expire(now, account);
       status.Level = floorUnits(account.OwnLevel);
-      status.Lent = floorUnits(account.Lent);
+      status.LeasedUnits = floorUnits(account.LeasedUnits);
       status.Granted = floorUnits(account.Granted);
       status.Refused = account.Refused;
     }
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.h
@@ -56,7 +56,7 @@
     TimePoint FilledAt;
     /// Leases by the incarnation of the entry's process.
     std::map<std::uint64_t, Lease> Leases;
-    double Lent = 0;
+    double LeasedUnits = 0;
     TimePoint NextExpiry;
     /// Units that refused requests will ask for after their retry-after delay.
     double PromisedUnits = 0;
--- a/packages/account/pimentofront/src/Account/LeaseSizing.cpp
+++ b/packages/account/pimentofront/src/Account/LeaseSizing.cpp
@@ -4,12 +4,12 @@
 
 namespace pimentofront {
 
-double ExactLeases::advance(const AllotmentBucket &, double, double) const {
+double OnDemandLeases::advance(const AllotmentBucket &, double, double) const {
   return 0;
 }
 
-double LeasesByUse::advance(const AllotmentBucket &bucket, double wished,
-                            double level) const {
+double UsageBasedLeases::advance(const AllotmentBucket &bucket, double wished,
+                                 double level) const {
   return std::min(wished, bucket.grantableInAdvance(level));
 }
 
--- a/packages/account/pimentofront/src/Account/LeaseSizing.h
+++ b/packages/account/pimentofront/src/Account/LeaseSizing.h
@@ -19,23 +19,23 @@
                          double level) const = 0;
 };
 
-/// \class ExactLeases
+/// \class OnDemandLeases
 /// \ingroup Account
 /// \brief Grants no units in advance: the entry asks the ledger for each
 /// request. No entry ever holds units that it doesn't need.
-class ExactLeases : public LeaseSizing {
+class OnDemandLeases : public LeaseSizing {
 public:
   double advance(const AllotmentBucket &bucket, double wished,
                  double level) const override;
 };
 
-/// \class LeasesByUse
+/// \class UsageBasedLeases
 /// \ingroup Account
 /// \brief Grants in advance the units that an entry will use soon, estimated
 /// from its recent usage, while the account is far from its limit. Its requests
 /// then don't wait for the ledger, and are served for a while without a leader.
 /// Near the limit, the entry asks the ledger for each request.
-class LeasesByUse : public LeaseSizing {
+class UsageBasedLeases : public LeaseSizing {
 public:
   double advance(const AllotmentBucket &bucket, double wished,
                  double level) const override;
--- a/packages/api/pimentofront/src/Api/Connect.h
+++ b/packages/api/pimentofront/src/Api/Connect.h
@@ -34,7 +34,7 @@
   /// What became of the request; the `Outcome` of the schema.
   bool NotRun = false;
   std::string Reason;
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
 };
 
 /// How a body is written.
--- a/packages/base/pimentofront/src/Base/Finding.cpp
+++ b/packages/base/pimentofront/src/Base/Finding.cpp
@@ -9,7 +9,7 @@
 std::string Findings::toText() const {
   std::string text;
   for (const Finding &it : Items)
-    text += it.Place + ": " + it.Message + "\n";
+    text += it.Location + ": " + it.Message + "\n";
   return text;
 }
 
--- a/packages/base/pimentofront/src/Base/Finding.h
+++ b/packages/base/pimentofront/src/Base/Finding.h
@@ -13,7 +13,7 @@
 /// \brief One error in an input, and its location.
 struct Finding {
   /// File, line, JSON pointer or field name, as precise as known.
-  std::string Place;
+  std::string Location;
   /// What is wrong and what was expected.
   std::string Message;
 
--- a/packages/base/pimentofront/src/Base/Identifier.h
+++ b/packages/base/pimentofront/src/Base/Identifier.h
@@ -69,14 +69,14 @@
   bool empty() const { return Name.empty(); }
   /// \returns whether the start times of both are known, so that they can be
   /// used to distinguish the processes.
-  friend bool bothTellStart(const ServerProcess &a, const ServerProcess &b) {
+  friend bool bothStartsKnown(const ServerProcess &a, const ServerProcess &b) {
     return a.StartedAt != 0 && b.StartedAt != 0;
   }
   /// \returns whether these may be the same process. If a start time is
   /// unknown, only the names are compared.
-  friend bool maybeSame(const ServerProcess &a, const ServerProcess &b) {
+  friend bool mayBeSameProcess(const ServerProcess &a, const ServerProcess &b) {
     return a.Name == b.Name &&
-           (!bothTellStart(a, b) || a.StartedAt == b.StartedAt);
+           (!bothStartsKnown(a, b) || a.StartedAt == b.StartedAt);
   }
   friend auto operator<=>(const ServerProcess &,
                           const ServerProcess &) = default;
--- a/packages/base/pimentofront/src/Base/Time.h
+++ b/packages/base/pimentofront/src/Base/Time.h
@@ -40,7 +40,7 @@
 
 /// \returns the fraction, from 1 down to 0, that remains after \p age of a
 /// value that halves every \p halfLife.
-inline double remainingShare(Duration age, Duration halfLife) {
+inline double decayFactor(Duration age, Duration halfLife) {
   return std::exp2(-toSeconds(age) / toSeconds(halfLife));
 }
 
--- a/packages/consensus/pimentofront/src/Consensus/Election.cpp
+++ b/packages/consensus/pimentofront/src/Consensus/Election.cpp
@@ -31,7 +31,7 @@
 }
 
 void ReplicatedLog::startElection(TimePoint now, bool preVote,
-                                  bool nobodyLeads) {
+                                  bool noLeaderKnown) {
   Role = LogRole::Candidate;
   Leader = 0;
   PreVoting = preVote;
@@ -44,8 +44,8 @@
                             .CandidateTerm = Vote.Current + (preVote ? 1 : 0),
                             .LastIndex = lastIndex(),
                             .LastTerm = termAt(lastIndex()),
-                            .Probe = preVote,
-                            .NobodyLeads = nobodyLeads};
+                            .PreVote = preVote,
+                            .NoLeaderKnown = noLeaderKnown};
   for (const ReplicaDescriptor &it : Group.Replicas)
     if (it.Id != Id && !it.Learner)
       sendTo(it, request);
@@ -56,7 +56,7 @@
                  .VoterTerm = Vote.Current,
                  .CandidateTerm = request.CandidateTerm,
                  .Granted = true,
-                 .Probe = preVote});
+                 .PreVote = preVote});
 }
 
 bool ReplicatedLog::isUpToDate(const VoteRequest &request) const {
@@ -73,19 +73,20 @@
       Role == LogRole::Leader
           ? quorumLastReplyAt() + Options.ElectionTimeout >= now
           : Leader != 0 && LeaderLastSeenAt + Options.ElectionTimeout > now;
-  const bool justStarted = now < NoVoteBefore && !request.NobodyLeads;
+  const bool justStarted = now < NoVoteBefore && !request.NoLeaderKnown;
   const bool leaseMayHold = leaderAlive || justStarted;
   VoteReply reply{.From = Id,
                   .VoterTerm = Vote.Current,
                   .CandidateTerm = request.CandidateTerm,
-                  .Probe = request.Probe};
+                  .PreVote = request.PreVote};
   const bool eligible =
       isVoter() && request.CandidateTerm >= Vote.Current && isUpToDate(request);
   const bool mayGrant = eligible && !leaseMayHold;
-  if (request.Probe) {
+  if (request.PreVote) {
     const bool newer = request.CandidateTerm > Vote.Current;
     reply.Granted = mayGrant && newer;
-    reply.OnlyJustStarted = eligible && newer && !leaderAlive && !reply.Granted;
+    reply.DeniedByRecentStart =
+        eligible && newer && !leaderAlive && !reply.Granted;
     return sendTo(request.From, reply);
   }
   if (!leaseMayHold && request.CandidateTerm > Vote.Current)
@@ -104,7 +105,7 @@
 
 void ReplicatedLog::onVoteReply(TimePoint now, std::uint64_t wallMilliseconds,
                                 const VoteReply &reply) {
-  if (Role != LogRole::Candidate || reply.Probe != PreVoting)
+  if (Role != LogRole::Candidate || reply.PreVote != PreVoting)
     return;
   if (reply.VoterTerm > Vote.Current && !reply.Granted)
     return becomeFollower(now, reply.VoterTerm, 0);
@@ -112,11 +113,11 @@
   const ReplicaDescriptor *voter = findReplica(reply.From);
   if (reply.CandidateTerm != requestedTerm || !voter || voter->Learner)
     return;
-  const bool noLeader = reply.Granted || reply.OnlyJustStarted;
+  const bool noLeader = reply.Granted || reply.DeniedByRecentStart;
   if (PreVoting && noLeader && reply.VoterTerm == Vote.Current)
     VotersWithoutLeader.insert(reply.From);
   if (PreVoting && noVoterKnowsLeader())
-    return startElection(now, /*preVote=*/false, /*nobodyLeads=*/true);
+    return startElection(now, /*preVote=*/false, /*noLeaderKnown=*/true);
   if (!reply.Granted)
     return;
   Votes.insert(reply.From);
@@ -144,7 +145,7 @@
   TermStartIndex = lastIndex() + 1;
   append({.EntryTerm = Vote.Current,
           .Index = TermStartIndex,
-          .Kind = EntryKind::Nothing,
+          .Kind = EntryKind::NoOp,
           .WallMilliseconds = wallMilliseconds});
   replicateAll(now);
 }
--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
@@ -138,7 +138,7 @@
   LogSnapshot snapshotAt(LogIndex index, std::string state) const;
   /// \returns entries after \p index, for compaction.
   std::vector<LogEntry> entriesAfter(LogIndex index) const;
-  std::size_t entriesHeld() const { return Entries.size(); }
+  std::size_t entryCount() const { return Entries.size(); }
 
 private:
   struct Progress {
@@ -185,7 +185,7 @@
 
   // Election.cpp
   void becomeFollower(TimePoint now, Term term, ReplicaId leader);
-  void startElection(TimePoint now, bool preVote, bool nobodyLeads = false);
+  void startElection(TimePoint now, bool preVote, bool noLeaderKnown = false);
   /// \returns whether every other voter has replied to the pre-vote that it
   /// knows no leader in this term.
   bool noVoterKnowsLeader() const;
--- a/packages/daemon/src/EngineDriver.cpp
+++ b/packages/daemon/src/EngineDriver.cpp
@@ -92,7 +92,7 @@
              {"adapter", engineName(request.Key)}});
   HttpCall call = post("/v1/completions",
                        dump({{"model", engineName(request.Key)},
-                             {"prompt", request.Prompt + request.Resumed},
+                             {"prompt", request.Prompt + request.ResumeText},
                              {"max_tokens", request.MaxTokens},
                              {"stream", true},
                              {"priority", -static_cast<int>(request.Weight)}}));
@@ -251,7 +251,7 @@
 void EngineDriver::onLoadEnd(const StartLoad &load, TimePoint begun,
                              bool succeeded) {
   const Duration took = Loop.now() - begun;
-  Counters.noteLoad(succeeded, took);
+  Counters.recordLoad(succeeded, took);
   Log.write(succeeded ? LogLevel::Info : LogLevel::Warn,
             succeeded ? "adapter_loaded" : "adapter_load_failed",
             {{"adapter", load.Key.Adapter.str()},
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -43,7 +43,7 @@
   /// A request had its final answer after \p took.
   void noteFinal(const KindName &kind, const FinalAnswer &answer,
                  Duration took);
-  void noteLoad(bool succeeded, Duration took);
+  void recordLoad(bool succeeded, Duration took);
   /// Forwarding decided something about a request.
   void noteForward(const ForwardEvent &event);
   void set(const Gauges &gauges);
--- a/packages/forward/pimentofront/Forward.h
+++ b/packages/forward/pimentofront/Forward.h
@@ -29,7 +29,7 @@
 #include "src/Forward/QuarantineSet.h"
 #include "src/Forward/ForwardBoard.h"
 #include "src/Forward/AccountController.h"
-#include "src/Forward/HoldController.h"
+#include "src/Forward/DeferController.h"
 #include "src/Forward/QuarantineController.h"
 #include "src/Forward/AttemptController.h"
 #include "src/Forward/AnswerController.h"
--- a/packages/forward/pimentofront/src/Forward/AccountController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AccountController.cpp
@@ -34,7 +34,7 @@
   const double tokens = static_cast<double>(traits.PromptTokens) +
                         static_cast<double>(traits.MaxOutputTokens);
   return request.Account->Limit.unitsOf(
-      traits.TellsTokens ? std::optional(tokens) : std::nullopt);
+      traits.HasTokenCounts ? std::optional(tokens) : std::nullopt);
 }
 
 bool AccountController::charge(TimePoint now, ForwardRequest &request) {
--- a/packages/forward/pimentofront/src/Forward/AnswerController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.cpp
@@ -30,46 +30,46 @@
          isSuccess(request.Attempt->Head->Status);
 }
 
-HeadVerdict AnswerController::onHead(TimePoint now, const AttemptId &attempt,
-                                     ResponseHead head) {
+HeadDecision AnswerController::onHead(TimePoint now, const AttemptId &attempt,
+                                      ResponseHead head) {
   ForwardRequest *request = Board.find(attempt);
   if (!request)
-    return HeadVerdict::Take;
+    return HeadDecision::Take;
   const AnswerTraits traits = Board.Codec.decodeAnswer(head);
   const bool declined = traits.NotRun || head.Status == StatusMisdirected;
   if (!traits.Id.empty() && traits.Id != request->Traits.Id)
-    return HeadVerdict::Skip;
+    return HeadDecision::Skip;
   if (traits.Load)
-    Board.Servers.noteLoad(now, request->Attempt->Server, *traits.Load);
+    Board.Servers.recordLoad(now, request->Attempt->Server, *traits.Load);
   if (!traits.Id.empty())
-    Attempts.noteFeedback(now, *request, traits.Feedback);
+    Attempts.recordFeedback(now, *request, traits.Feedback);
   if (declined) {
     Board.Commands.push_back(IgnoreUpstream{attempt});
     const bool misdirected = head.Status == StatusMisdirected;
     Attempts.onNotRun(now, *request, ServerOutcome::Declined,
                       misdirected ? ReleaseKind::NotResident
                                   : ReleaseKind::NotRun);
-    return HeadVerdict::Take;
+    return HeadDecision::Take;
   }
   if (traits.Id.empty() || (isSuccess(head.Status) && !traits.Stamped)) {
     // The answer lacks the id or the stamp that this server sends, so its bytes
     // belong to no request.
     Board.Commands.push_back(CancelUpstream{attempt});
     brokeOff(now, *request, /*serverMayHaveExited=*/false);
-    return HeadVerdict::Take;
+    return HeadDecision::Take;
   }
   request->Attempt->Head = std::move(head);
   Attempts.recordMayHaveRun(*request);
   if (request->Attempt->Head->Status < StatusServerError)
-    return HeadVerdict::Take;
+    return HeadDecision::Take;
   // The server ran the request and failed; another one may succeed.
   Quarantine.onSurvived(*request);
-  if (!Attempts.mayRepeat(now, *request) || !Board.Budget.hasRoom())
-    return HeadVerdict::Take;
+  if (!Attempts.mayRepeat(now, *request) || !Board.Budget.canRetry())
+    return HeadDecision::Take;
   Board.Commands.push_back(IgnoreUpstream{attempt});
   Attempts.endFailedAttempt(now, *request);
   Attempts.retryOrGiveUp(now, *request);
-  return HeadVerdict::Take;
+  return HeadDecision::Take;
 }
 
 void AnswerController::beginAnswer(TimePoint now, ForwardRequest &request) {
@@ -138,8 +138,8 @@
     ResponseHead head = *request.Attempt->Head;
     removeConnectionHeaders(head.Headers);
     Board.Commands.push_back(
-        ReplyWhole{request.Key, std::move(head),
-                   std::move(request.Attempt->BufferedBody)});
+        ReplyComplete{request.Key, std::move(head),
+                      std::move(request.Attempt->BufferedBody)});
   }
   const bool failed = status >= StatusServerError;
   Attempts.endAttempt(now, request,
@@ -175,7 +175,7 @@
   if (ending == UpstreamEnding::Complete && request->Attempt->Head)
     return complete(now, *request);
   if (ending == UpstreamEnding::TurnedAway)
-    Board.Servers.noteTurnedAway(now, request->Attempt->Server);
+    Board.Servers.recordRejection(now, request->Attempt->Server);
   brokeOff(now, *request, /*serverMayHaveExited=*/true);
 }
 
--- a/packages/forward/pimentofront/src/Forward/AnswerController.h
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.h
@@ -19,7 +19,7 @@
 };
 
 /// How to continue after the head of an answer.
-enum class HeadVerdict : std::uint8_t {
+enum class HeadDecision : std::uint8_t {
   Take,
   /// The answer belongs to an earlier request on that connection: skip it and
   /// read the next one.
@@ -37,8 +37,8 @@
                    QuarantineController &quarantine)
       : Board(board), Attempts(attempts), Quarantine(quarantine) {}
 
-  HeadVerdict onHead(TimePoint now, const AttemptId &attempt,
-                     ResponseHead head);
+  HeadDecision onHead(TimePoint now, const AttemptId &attempt,
+                      ResponseHead head);
   void onBody(TimePoint now, const AttemptId &attempt, std::string_view bytes);
   void onEnd(TimePoint now, const AttemptId &attempt, UpstreamEnding ending);
   /// The server's host has gone, so the connection will never report its end.
--- a/packages/forward/pimentofront/src/Forward/AttemptController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.cpp
@@ -145,8 +145,9 @@
       Board.Permits.use(process);
   }
   for (const ServerProcess &it : paced)
-    Board.Permits.want(now, it, Board.Servers.feedbackOf(it).limit(now),
-                       Board.Servers.coldStartOf(now, it));
+    Board.Permits.requestPermit(now, it,
+                                Board.Servers.feedbackOf(it).limit(now),
+                                Board.Servers.coldStartOf(now, it));
   if (server)
     return send(now, request, *server);
   if (paced.empty())
@@ -157,7 +158,7 @@
 void AttemptController::awaitPermit(TimePoint now, ForwardRequest &request,
                                     const std::vector<ServerProcess> &paced) {
   const auto nextChanceOf = [&](const ServerProcess &it) {
-    return Board.Permits.nextChance(now, it);
+    return Board.Permits.earliestSendTime(now, it);
   };
   const TimePoint earliest =
       nextChanceOf(*std::ranges::min_element(paced, {}, nextChanceOf));
@@ -173,7 +174,7 @@
     deferOrGiveUp(now, request, ForwardFailure::Declined);
     return Deferrals.retryAt(request.Key, earliest);
   }
-  request.ComeBack = std::max(request.ComeBack, earliest - now);
+  request.RetryAfter = std::max(request.RetryAfter, earliest - now);
   giveUp(now, request, ForwardFailure::Declined);
 }
 
@@ -192,9 +193,9 @@
 }
 
 void AttemptController::handleNoServer(TimePoint now, ForwardRequest &request) {
-  if (const auto backoffEnd =
-          Board.Servers.restOver(now, request.Service, request.Zones)) {
-    request.ComeBack = std::max(request.ComeBack, *backoffEnd - now);
+  if (const auto backoffEnd = Board.Servers.earliestBackoffEnd(
+          now, request.Service, request.Zones)) {
+    request.RetryAfter = std::max(request.RetryAfter, *backoffEnd - now);
     return giveUp(now, request, ForwardFailure::ServersBackingOff);
   }
   const bool hasServers = Board.Servers.serves(request.Service, request.Zones);
@@ -232,7 +233,7 @@
                                  const Route &route) {
   const AttemptId id{Board.Options.Incarnation, ++Board.LastSequence};
   const MemberView &agent = Board.Servers.agents().at(route.Host);
-  const ServerView *engine = Board.Servers.beside(route.Host);
+  const ServerView *engine = Board.Servers.serverOfAgent(route.Host);
   const ServerProcess server =
       engine ? engine->Record.process() : ServerProcess();
   request.Attempt = ForwardAttempt{.Id = id,
@@ -274,7 +275,7 @@
   attempt.SentAt = now;
   ++request.Sends;
   request.Avoid.push_back(attempt.Server);
-  Board.Servers.noteSent(attempt.Server);
+  Board.Servers.recordSent(attempt.Server);
   Accounts.onSend(now, request);
   const ForwardTraits traits{
       .TimeLeft = request.Deadline - now,
@@ -282,7 +283,7 @@
       .Version = request.Adapter.Version,
       .Priority =
           request.ToEngine ? std::optional(request.priority()) : std::nullopt,
-      .LastEvent = request.Events.last(),
+      .LastEventId = request.Events.last(),
       .Account = request.Account ? request.Account->Name : AccountName()};
   Board.Commands.push_back(
       SendUpstream{.Attempt = attempt.Id,
@@ -304,8 +305,8 @@
   return request && request->Attempt->Agent == agent ? request : nullptr;
 }
 
-void AttemptController::noteLoad(const HostName &agent,
-                                 const LoadFigures &load) {
+void AttemptController::recordLoad(const HostName &agent,
+                                   const AgentLoad &load) {
   const auto it = Board.Servers.agents().find(agent);
   if (it == Board.Servers.agents().end())
     return;
@@ -316,7 +317,7 @@
 
 void AttemptController::onAdmitted(TimePoint, const HostName &agent,
                                    const AttemptAdmitted &message) {
-  noteLoad(agent, message.Load);
+  recordLoad(agent, message.Load);
   ForwardRequest *request = find(message.Attempt, agent);
   if (!request)
     return;
@@ -326,7 +327,7 @@
 
 void AttemptController::onPermit(TimePoint now, const HostName &agent,
                                  const AttemptPermit &message) {
-  noteLoad(agent, message.Load);
+  recordLoad(agent, message.Load);
   ForwardRequest *request = find(message.Attempt, agent);
   if (!request || request->Attempt->Sent) {
     // No request waits for this permit any more: its place must be freed.
@@ -339,15 +340,15 @@
     return giveUp(now, *request, ForwardFailure::TimedOut);
   request->Attempt->AgentAnswered = true;
   Routing.learn(request->Adapter, agent, true);
-  ServerView *server = Board.Servers.beside(agent);
+  ServerView *server = Board.Servers.serverOfAgent(agent);
   const bool backingOff =
       server &&
-      Board.Servers.feedbackOf(server->Record.process()).isResting(now);
-  const bool expired = message.Pace > Duration::zero() &&
-                       request->Attempt->LongestStall > message.Pace;
+      Board.Servers.feedbackOf(server->Record.process()).isBackingOff(now);
+  const bool expired = message.SendInterval > Duration::zero() &&
+                       request->Attempt->LongestStall > message.SendInterval;
   if (server && !backingOff && !expired && !mayMissEvacuation(now)) {
     const std::string changes =
-        Board.Servers.noteLimit(now, server->Record.process(), message.Limit);
+        Board.Servers.recordLimit(now, server->Record.process(), message.Limit);
     if (!changes.empty())
       recordEvent(now, "server_feedback", *request,
                   changes + ", reported by agent " + agent.str());
@@ -356,7 +357,7 @@
   onNotRun(now, *request, ServerOutcome::Declined, ReleaseKind::NotRun);
 }
 
-void AttemptController::onStop(Duration gap) {
+void AttemptController::onStall(Duration gap) {
   for (const auto &[attempt, key] : Board.Attempts) {
     Duration &longest = Board.Requests.at(key).Attempt->LongestStall;
     longest = std::max(longest, gap);
@@ -382,20 +383,20 @@
 
 void AttemptController::onRefused(TimePoint now, const HostName &agent,
                                   const AttemptRefused &message) {
-  noteLoad(agent, message.Load);
+  recordLoad(agent, message.Load);
   ForwardRequest *request = find(message.Attempt, agent);
   if (!request)
     return;
   if (message.Reason == RefusalReason::NotResident)
     Routing.learn(request->Adapter, agent, false);
   if (message.Reason == RefusalReason::BackendDown)
-    Board.Servers.suspendAgent(now, agent);
+    Board.Servers.ejectAgent(now, agent);
   request->Tried.push_back({agent, message.Reason, message.Load,
-                            request->Attempt->OnlyIfResident, message.ComeBack,
-                            message.Holds});
+                            request->Attempt->OnlyIfResident,
+                            message.RetryAfter, message.Holds});
   request->LastRefusal = message.Reason;
-  if (!onlyAskedAround(message.Reason))
-    request->ComeBack = std::max(request->ComeBack, message.ComeBack);
+  if (!isConditionalRefusal(message.Reason))
+    request->RetryAfter = std::max(request->RetryAfter, message.RetryAfter);
   Board.Attempts.erase(message.Attempt);
   request->Attempt.reset();
   next(now, *request);
@@ -404,7 +405,7 @@
 void AttemptController::skipAgent(TimePoint now, ForwardRequest &request) {
   const ForwardAttempt &attempt = *request.Attempt;
   recordEvent(now, "agent_silent", request, attempt.Agent.str());
-  Board.Servers.suspendAgent(now, attempt.Agent);
+  Board.Servers.ejectAgent(now, attempt.Agent);
   markSuspected(now, attempt.Agent);
   request.Tried.push_back({attempt.Agent,
                            RefusalReason::BackendDown,
@@ -441,7 +442,7 @@
     const bool suspected =
         it.SuspectedAt > std::max(it.SentAt, it.LastReceivedAt);
     if (it.Sent && !suspected && server &&
-        !maybeSame(server->Record.process(), it.Server))
+        !mayBeSameProcess(server->Record.process(), it.Server))
       it.SuspectedAt = now;
   }
 }
@@ -472,19 +473,19 @@
   notifyAgent(attempt.Agent, AttemptReleased{attempt.Id, kind, firstEvent});
 }
 
-void AttemptController::noteFeedback(TimePoint now,
-                                     const ForwardRequest &request,
-                                     const AnswerFeedback &feedback) {
+void AttemptController::recordFeedback(TimePoint now,
+                                       const ForwardRequest &request,
+                                       const AnswerFeedback &feedback) {
   const ForwardAttempt &attempt = *request.Attempt;
   ServerSet &servers = Board.Servers;
   const bool wasLimited = servers.feedbackOf(attempt.Server).isLimited();
   const std::string changes =
-      servers.noteFeedback(now, attempt.Server, feedback, attempt.SentAt);
+      servers.recordFeedback(now, attempt.Server, feedback, attempt.SentAt);
   if (!changes.empty())
     recordEvent(now, "server_feedback", request, changes);
-  const auto limitReport = feedback.limitWord(now, attempt.SentAt);
+  const auto limitReport = feedback.impliedLimit(now, attempt.SentAt);
   if (limitReport && (limitReport->Named || wasLimited))
-    notifyAgent(attempt.Agent, RateLimitSeen{attempt.Id, *limitReport});
+    notifyAgent(attempt.Agent, RateLimitReport{attempt.Id, *limitReport});
 }
 
 void AttemptController::notifyBegan(const ForwardRequest &request) {
@@ -497,7 +498,7 @@
                                    ServerOutcome outcome, ReleaseKind kind) {
   const ForwardAttempt &attempt = *request.Attempt;
   if (attempt.Sent)
-    Board.Servers.noteEnded(now, attempt.Server, outcome);
+    Board.Servers.recordOutcome(now, attempt.Server, outcome);
   release(attempt, kind);
   Board.Attempts.erase(attempt.Id);
   request.Attempt.reset();
@@ -582,7 +583,7 @@
   if (why == ForwardFailure::Quarantined || why == ForwardFailure::UnknownKey)
     return std::nullopt;
   const Duration minDelay =
-      std::max(request.ComeBack, Board.Options.LeastComeBack);
+      std::max(request.RetryAfter, Board.Options.MinRetryAfter);
   // The ledger has already spread the retries of refused callers.
   if (why == ForwardFailure::OverAllotment)
     return minDelay;
@@ -605,13 +606,13 @@
     Board.Commands.push_back(ReplyAbort{request.Key});
     return finish(now, request);
   }
-  const std::optional<Duration> comeBack = retryAfterOf(request, why);
+  const std::optional<Duration> retryAfter = retryAfterOf(request, why);
   ResponseHead head{.Status = status,
                     .Headers =
-                        Board.Codec.refusalHeaders(request.Traits, comeBack)};
+                        Board.Codec.refusalHeaders(request.Traits, retryAfter)};
   Board.Commands.push_back(
-      ReplyWhole{request.Key, std::move(head),
-                 std::string(forwardFailureName(why)) + "\n"});
+      ReplyComplete{request.Key, std::move(head),
+                    std::string(forwardFailureName(why)) + "\n"});
   finish(now, request);
 }
 
--- a/packages/forward/pimentofront/src/Forward/AttemptController.h
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.h
@@ -2,7 +2,7 @@
 #define PIMENTOFRONT_FORWARD_ATTEMPT_CONTROLLER_H
 
 #include "AccountController.h"
-#include "HoldController.h"
+#include "DeferController.h"
 #include "QuarantineController.h"
 
 namespace pimentofront {
@@ -15,8 +15,8 @@
 public:
   /// \param routing chooses among agents; outlives the controller.
   AttemptController(ForwardBoard &board, AccountController &accounts,
-                    HoldController &deferrals, QuarantineController &quarantine,
-                    RoutingPolicy &routing)
+                    DeferController &deferrals,
+                    QuarantineController &quarantine, RoutingPolicy &routing)
       : Board(board), Accounts(accounts), Deferrals(deferrals),
         Quarantine(quarantine), Routing(routing) {}
 
@@ -36,7 +36,7 @@
   /// sent to the former processes may be lost.
   void suspectFormerProcesses(TimePoint now);
   /// This process was stalled for \p gap: permits may have arrived long ago.
-  void onStop(Duration gap);
+  void onStall(Duration gap);
   /// The set of evacuated zones has changed: requests that wait for agents in
   /// an evacuated zone are sent elsewhere.
   void onZonesChanged(TimePoint now);
@@ -75,8 +75,8 @@
                    const ForwardRequest &request, std::string detail = {},
                    int status = 0, bool lost = false);
   /// Records what the server asks for with its answer, and notifies its agent.
-  void noteFeedback(TimePoint now, const ForwardRequest &request,
-                    const AnswerFeedback &feedback);
+  void recordFeedback(TimePoint now, const ForwardRequest &request,
+                      const AnswerFeedback &feedback);
   /// The server has run the request, or may have.
   void recordMayHaveRun(ForwardRequest &request) {
     Accounts.onMayHaveRun(request);
@@ -109,7 +109,7 @@
   /// useless.
   std::optional<Duration> retryAfterOf(const ForwardRequest &request,
                                        ForwardFailure why);
-  void noteLoad(const HostName &agent, const LoadFigures &load);
+  void recordLoad(const HostName &agent, const AgentLoad &load);
   ForwardRequest *find(const AttemptId &attempt, const HostName &agent);
   /// \returns whether its route's limit of servers allows another one.
   static bool hasServersLeft(const ForwardRequest &request);
@@ -119,7 +119,7 @@
 
   ForwardBoard &Board;
   AccountController &Accounts;
-  HoldController &Deferrals;
+  DeferController &Deferrals;
   QuarantineController &Quarantine;
   RoutingPolicy &Routing;
 };
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-ConnectionPart
+ConnectionLimits
 ConnectionShare::part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
                       const ConnectionShareOptions &options) const {
   if (cap == 0)
@@ -25,8 +25,8 @@
   return {.Open = std::max(scaledShare, options.MinOpen), .Kept = scaledShare};
 }
 
-void ConnectionShare::noteTurnedAway(TimePoint now,
-                                     const ConnectionShareOptions &options) {
+void ConnectionShare::recordRejection(TimePoint now,
+                                      const ConnectionShareOptions &options) {
   // Several connections that are rejected together cut the share only once.
   if (now < CutAt + options.RecoveryTime * options.CutFactor)
     return;
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.h
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.h
@@ -9,18 +9,18 @@
 
 namespace pimentofront {
 
-/// \class ConnectionPart
+/// \class ConnectionLimits
 /// \ingroup Forward
 /// \brief How many connections one entry may have to one backend server.
-struct ConnectionPart {
+struct ConnectionLimits {
   /// Maximum of open connections, whether in use or idle.
   std::uint32_t Open = std::numeric_limits<std::uint32_t>::max();
   /// Maximum of idle connections that are kept for reuse. Lower than Open if
   /// the entry's share is less than the minimum that it needs; the connections
   /// beyond it are then closed after their answers.
   std::uint32_t Kept = std::numeric_limits<std::uint32_t>::max();
-  friend auto operator<=>(const ConnectionPart &,
-                          const ConnectionPart &) = default;
+  friend auto operator<=>(const ConnectionLimits &,
+                          const ConnectionLimits &) = default;
 };
 
 /// \class ConnectionShareOptions
@@ -57,10 +57,10 @@
   /// \param cap connections that the server accepts; 0 if unknown, which sets
   /// no limit.
   /// \returns the share of this entry, one of \p entries.
-  ConnectionPart part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
-                      const ConnectionShareOptions &options) const;
+  ConnectionLimits part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
+                        const ConnectionShareOptions &options) const;
   /// Records that the server rejected a connection, and cuts the share.
-  void noteTurnedAway(TimePoint now, const ConnectionShareOptions &options);
+  void recordRejection(TimePoint now, const ConnectionShareOptions &options);
 
 private:
   /// Factor on the share at the time CutAt; it grows linearly from then on.
--- a/packages/forward/pimentofront/src/Forward/HoldController.cpp
+++ b/packages/forward/pimentofront/src/Forward/DeferController.cpp
@@ -4,7 +4,7 @@
 
 namespace pimentofront {
 
-TimePoint HoldController::deferLimit(const ForwardRequest &request) const {
+TimePoint DeferController::deferLimit(const ForwardRequest &request) const {
   const ForwardOptions &options = Board.Options;
   const Duration time =
       request.Traits.TimeLeft.value_or(request.Deadline - request.ArrivedAt);
@@ -12,7 +12,7 @@
   return request.ArrivedAt + std::min(share, options.DeferTimeout);
 }
 
-bool HoldController::defer(TimePoint now, ForwardRequest &request) {
+bool DeferController::defer(TimePoint now, ForwardRequest &request) {
   const bool neverSent = request.Sends == 0 && !request.MayHaveRun;
   if (!neverSent || now >= deferLimit(request) ||
       Board.Deferred.size() >= Board.Options.MaxDeferred)
@@ -22,14 +22,14 @@
   return true;
 }
 
-void HoldController::retryAt(std::uint64_t key, TimePoint at) {
+void DeferController::retryAt(std::uint64_t key, TimePoint at) {
   if (!Board.Deferred.contains(key))
     return;
   ForwardRequest &request = Board.Requests.at(key);
   request.NextTryAt = std::min(request.NextTryAt, at);
 }
 
-std::vector<std::uint64_t> HoldController::takeDue(TimePoint now) {
+std::vector<std::uint64_t> DeferController::takeDue(TimePoint now) {
   std::vector<std::uint64_t> due;
   for (const std::uint64_t key : Board.Deferred) {
     const ForwardRequest &request = Board.Requests.at(key);
--- a/packages/forward/pimentofront/src/Forward/HoldController.h
+++ b/packages/forward/pimentofront/src/Forward/DeferController.h
@@ -1,11 +1,11 @@
-#ifndef PIMENTOFRONT_FORWARD_HOLD_CONTROLLER_H
-#define PIMENTOFRONT_FORWARD_HOLD_CONTROLLER_H
+#ifndef PIMENTOFRONT_FORWARD_DEFER_CONTROLLER_H
+#define PIMENTOFRONT_FORWARD_DEFER_CONTROLLER_H
 
 #include "ForwardBoard.h"
 
 namespace pimentofront {
 
-/// \class HoldController
+/// \class DeferController
 /// \ingroup Forward
 /// \brief Defers requests that nothing can take now, for as long as the cause
 /// is likely to pass, and schedules their next tries.
@@ -16,9 +16,9 @@
 /// answer at all. Only requests that have been sent to no server are deferred,
 /// so a later refusal still guarantees that the request has not run. Not for
 /// overload: a request that finds all servers full is refused at once.
-class HoldController {
+class DeferController {
 public:
-  explicit HoldController(ForwardBoard &board) : Board(board) {}
+  explicit DeferController(ForwardBoard &board) : Board(board) {}
 
   /// Defers the request, unless it has been sent, has waited long enough, or
   /// too many are deferred already.
--- a/packages/forward/pimentofront/src/Forward/ForwardBoard.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardBoard.h
@@ -64,7 +64,7 @@
   /// entry's share of the traffic.
   std::size_t MaxDeferred = 256;
   /// Shortest retry-after time that a refusal names.
-  Duration LeastComeBack = std::chrono::milliseconds(100);
+  Duration MinRetryAfter = std::chrono::milliseconds(100);
   /// Timeout for the replicas' decision on whether a watched request may be
   /// tried. Covers a commit and a change of leader, and takes little of a
   /// caller's time.
@@ -217,7 +217,7 @@
   bool Answering = false;
   EventStream Events;
   /// Longest retry-after time that a refusal named.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   RefusalReason LastRefusal = RefusalReason::None;
   /// Detail of the refusal, for the log.
   std::string RefusalDetail;
@@ -245,7 +245,7 @@
   /// alive.
   bool Once = false;
   /// How many connections to the server are allowed, this one included.
-  ConnectionPart Connections;
+  ConnectionLimits Connections;
 };
 /// Closes the connection of an attempt, which makes the server stop.
 struct CancelUpstream {
@@ -262,10 +262,10 @@
   std::string Address;
 };
 /// Result of checking the process at a server's address.
-enum class ServerLife : std::uint8_t {
-  Lives,
+enum class ServerCheckResult : std::uint8_t {
+  StillRunning,
   /// Its host refuses connections to it.
-  Ended,
+  Exited,
   /// No reply: a host without power, a network partition, or a stalled process.
   Unknown,
 };
@@ -276,7 +276,7 @@
   Duration GiveUpAfter = Duration::zero();
 };
 /// Sends a caller a complete answer.
-struct ReplyWhole {
+struct ReplyComplete {
   std::uint64_t Key = 0;
   ResponseHead Head;
   std::string Body;
@@ -299,7 +299,7 @@
 };
 using ForwardCommand =
     std::variant<SendToAgent, SendUpstream, CancelUpstream, IgnoreUpstream,
-                 ReplyWhole, ReplyHead, ReplyPiece, ReplyEnd, ReplyAbort,
+                 ReplyComplete, ReplyHead, ReplyPiece, ReplyEnd, ReplyAbort,
                  CheckServer, AskReplicas>;
 
 /// \class ForwardEvent
@@ -363,7 +363,7 @@
     // Bound on the relative drift between two hosts' clocks, twice the rate at
     // which NTP slews a clock.
     constexpr double MaxClockDrift = 0.001;
-    const std::optional<Duration> age = Configuration.confirmedAge(now);
+    const std::optional<Duration> age = Configuration.confirmationAge(now);
     return age && toSeconds(*age) < toSeconds(bound) * (1 - MaxClockDrift);
   }
   /// \returns whether confirmedWithin() will hold for a while longer. Readiness
--- a/packages/forward/pimentofront/src/Forward/ForwardController.cpp
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.cpp
@@ -84,8 +84,8 @@
   return bound == Duration::zero() || Board.confirmedWellWithin(now, bound);
 }
 
-void ForwardController::onEntries(TimePoint now, std::uint32_t entries) {
-  Board.Servers.onEntries(now, entries);
+void ForwardController::onEntryCount(TimePoint now, std::uint32_t entries) {
+  Board.Servers.onEntryCount(now, entries);
   Board.Budget.setReserve(Board.Options.RetryReserve / std::max(entries, 1U));
 }
 
@@ -103,17 +103,17 @@
                                   .ArrivedAt = now})
           .first->second;
   request.Traits = Board.Codec.decodeRequest(request.Head);
-  request.Events = EventStream(request.Traits.LastEvent);
+  request.Events = EventStream(request.Traits.LastEventId);
   resolve(now, request);
 }
 
 void ForwardController::resolve(TimePoint now, ForwardRequest &request) {
   request.Table = Board.Table;
   if (!request.Table) {
-    request.ComeBack = Board.Options.UnreadyRetryAfter;
+    request.RetryAfter = Board.Options.UnreadyRetryAfter;
     return deferUnresolved(now, request);
   }
-  request.ComeBack = Duration::zero();
+  request.RetryAfter = Duration::zero();
   if (request.Traits.Id.empty())
     return Attempts.giveUp(now, request, ForwardFailure::Malformed);
   const std::string *host = findHeader(request.Head.Headers, "host");
@@ -159,7 +159,7 @@
                            request.Traits.Adapter);
     request.Adapter = {name, liveVersion(Board.Configuration, name)};
   }
-  Board.Budget.noteRequest();
+  Board.Budget.recordRequest();
   if (Accounts.charge(now, request))
     Attempts.next(now, request);
 }
@@ -172,7 +172,7 @@
       Attempts.next(now, request);
       continue;
     }
-    request.ComeBack = it.ComeBack;
+    request.RetryAfter = it.RetryAfter;
     request.RefusalDetail = "; account's level " + std::to_string(it.Level) +
                             ", asked " + std::to_string(it.Age.count() / 1000) +
                             " ms ago";
@@ -195,7 +195,7 @@
 
 bool ForwardController::isChargeOverdue(TimePoint now,
                                         const ForwardRequest &request) const {
-  return request.Charge.Now == AllotmentCharge::State::Asked &&
+  return request.Charge.Now == AllotmentCharge::State::Pending &&
          now >= Deferrals.deferLimit(request);
 }
 
@@ -220,12 +220,12 @@
 
 void ForwardController::onServerChecked(TimePoint now,
                                         const ServerProcess &server,
-                                        ServerLife life) {
+                                        ServerCheckResult life) {
   for (const std::uint64_t key : Quarantine.onServerChecked(now, server, life))
     Attempts.retryOrGiveUp(now, Board.Requests.at(key));
 }
 
-void ForwardController::onCallerGone(TimePoint now, std::uint64_t key) {
+void ForwardController::onCallerDisconnected(TimePoint now, std::uint64_t key) {
   const auto it = Board.Requests.find(key);
   if (it == Board.Requests.end())
     return;
--- a/packages/forward/pimentofront/src/Forward/ForwardController.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.h
@@ -23,14 +23,14 @@
   void onEvacuatedZones(TimePoint now, std::set<ZoneName> zones);
   /// Sets the number of entries that share the retry budget and the connections
   /// to each backend server.
-  void onEntries(TimePoint now, std::uint32_t entries);
+  void onEntryCount(TimePoint now, std::uint32_t entries);
 
   /// A request has been received completely; \p bodyHash is the hash of its
   /// body. \p key identifies it until its answer has ended.
   void onRequest(TimePoint now, std::uint64_t key, RequestHead head,
                  std::string body, const ContentHash &bodyHash);
   /// The caller has closed its connection.
-  void onCallerGone(TimePoint now, std::uint64_t key);
+  void onCallerDisconnected(TimePoint now, std::uint64_t key);
 
   /// \returns whether this entry knows which zones are evacuated, and will for
   /// a while longer.
@@ -41,7 +41,7 @@
   void setTableOutdated() { Board.TableOutdated = true; }
   /// \returns whether takeAllotmentReport() may have something.
   bool wantsAllotmentReport(TimePoint now) const {
-    return Board.Leases.wantsReport(now);
+    return Board.Leases.isReportDue(now);
   }
   /// \returns the report on allotments for the leader of the replicas, if one
   /// is due.
@@ -50,7 +50,7 @@
   }
   /// The leader has answered a report.
   void onAllotmentGrants(TimePoint now, const AllotmentGrants &grants);
-  bool wantsPermitQuery() const { return Board.Permits.wantsQuery(); }
+  bool wantsPermitQuery() const { return Board.Permits.hasQueries(); }
   /// \returns the queries for permits to send to limited or cold servers, for
   /// the leader.
   std::vector<SendPermitQuery> takePermitQueries() {
@@ -66,14 +66,15 @@
   /// \returns whether the leader has left a report or query unanswered for too
   /// long.
   bool ledgerUnanswered(TimePoint now) const {
-    return Board.Leases.unanswered(now) || Board.Permits.unanswered(now);
+    return Board.Leases.hasOverdueQuery(now) ||
+           Board.Permits.hasOverdueQuery(now);
   }
   /// The replicas have decided on a question, or haven't in time.
   void onDecision(TimePoint now, std::uint64_t nonce,
                   const std::optional<CommandOutcome> &outcome);
   /// A server whose answer had broken off has been checked.
   void onServerChecked(TimePoint now, const ServerProcess &server,
-                       ServerLife life);
+                       ServerCheckResult life);
 
   AttemptController &attempts() { return Attempts; }
   AnswerController &answers() { return Answers; }
@@ -105,7 +106,7 @@
 
   ForwardBoard Board;
   AccountController Accounts;
-  HoldController Deferrals;
+  DeferController Deferrals;
   QuarantineController Quarantine;
   ContentHasher Hasher;
   AttemptController Attempts;
--- a/packages/forward/pimentofront/src/Forward/HeaderCodec.h
+++ b/packages/forward/pimentofront/src/Forward/HeaderCodec.h
@@ -24,10 +24,10 @@
   std::uint32_t PromptTokens = 0;
   std::uint32_t MaxOutputTokens = 0;
   /// The request states PromptTokens and MaxOutputTokens.
-  bool TellsTokens = false;
+  bool HasTokenCounts = false;
   std::vector<PromptPart> Parts;
   /// Id of the last event that the caller has of an earlier stream.
-  std::optional<std::uint64_t> LastEvent;
+  std::optional<std::uint64_t> LastEventId;
 };
 
 /// \class ForwardTraits
@@ -42,7 +42,7 @@
   /// Version of the adapter that must run the request; 0 allows any.
   VersionNumber Version = 0;
   std::optional<std::uint32_t> Priority;
-  std::optional<std::uint64_t> LastEvent;
+  std::optional<std::uint64_t> LastEventId;
   /// Client account that sent the request; empty if no key is needed.
   AccountName Account;
 };
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
@@ -20,7 +20,7 @@
          now < *OutdatedSince + Board.Options.QuarantineUpdateTimeout;
 }
 
-void QuarantineController::onKnown(TimePoint at) {
+void QuarantineController::onCaughtUp(TimePoint at) {
   if (OutdatedSince && at >= *OutdatedSince)
     OutdatedSince.reset();
 }
@@ -40,10 +40,11 @@
     break;
   }
   request.Trial = TrialState::Asked;
-  const std::uint64_t nonce = ask(ClaimTrial{.Content = request.Content,
-                                             .Holder = holderOf(Board, request),
-                                             .HeldFor = request.Deadline - now},
-                                  Board.Options.TrialDecisionTimeout);
+  const std::uint64_t nonce =
+      ask(ClaimTrial{.Content = request.Content,
+                     .Holder = holderOf(Board, request),
+                     .MaxTrialDuration = request.Deadline - now},
+          Board.Options.TrialDecisionTimeout);
   Claims[nonce] = request.Key;
   return SendDecision::Asked;
 }
@@ -127,7 +128,7 @@
   if (isNew)
     Board.Commands.push_back(CheckServer{process, server->Record.Address});
   const bool hasGrant = request.Trial == TrialState::Granted;
-  it->second.AtWork.push_back(
+  it->second.RequestsInFlight.push_back(
       {.Content = request.Content,
        .Answering = request.Attempt->FirstEventAt.has_value(),
        .Holder = hasGrant ? holderOf(Board, request) : AttemptId()});
@@ -140,12 +141,12 @@
 }
 
 std::vector<std::uint64_t> QuarantineController::onServerChecked(
-    TimePoint now, const ServerProcess &server, ServerLife life) {
+    TimePoint now, const ServerProcess &server, ServerCheckResult life) {
   const auto check = Checks.extract(server);
   if (!check)
     return {};
-  const std::vector<RequestAtWork> &atWork = check.mapped().AtWork;
-  if (life == ServerLife::Ended) {
+  const std::vector<InFlightRequest> &atWork = check.mapped().RequestsInFlight;
+  if (life == ServerCheckResult::Exited) {
     startSettling(now, server, check.mapped());
     reportServerExit(now, server, atWork);
   } else
@@ -185,10 +186,10 @@
   return settled;
 }
 
-void QuarantineController::endTrials(const std::vector<RequestAtWork> &atWork,
-                                     ServerLife life) {
-  const bool survived = life == ServerLife::Lives;
-  for (const RequestAtWork &it : atWork) {
+void QuarantineController::endTrials(const std::vector<InFlightRequest> &atWork,
+                                     ServerCheckResult life) {
+  const bool survived = life == ServerCheckResult::StillRunning;
+  for (const InFlightRequest &it : atWork) {
     if (it.Holder == AttemptId())
       continue;
     if (survived)
@@ -200,20 +201,20 @@
 
 void QuarantineController::reportServerExit(
     TimePoint now, const ServerProcess &server,
-    const std::vector<RequestAtWork> &atWork) {
+    const std::vector<InFlightRequest> &atWork) {
   std::vector<ContentHash> contents;
-  for (const RequestAtWork &it : atWork) {
+  for (const InFlightRequest &it : atWork) {
     contents.push_back(it.Content);
     Board.Quarantine.watch(it.Content);
   }
-  Board.Servers.noteProcessEnded(now, server);
+  Board.Servers.recordProcessExit(now, server);
   Board.Events.push_back({.Name = "server_ended",
                           .Server = server.Name,
                           .Detail = "new connections are refused; requests of "
                                     "this entry in flight there: " +
                                     std::to_string(atWork.size())});
   const std::uint64_t nonce =
-      ask(ReportServerEnd{server, atWork}, Board.Options.ReportTimeout);
+      ask(ReportServerExit{server, atWork}, Board.Options.ReportTimeout);
   Reports[nonce] = std::move(contents);
 }
 
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.h
@@ -56,8 +56,9 @@
   /// the request's key, unless the request has ended in the meantime.
   bool checkServer(ForwardRequest &request);
   /// \returns the keys of the requests that waited for this check.
-  std::vector<std::uint64_t>
-  onServerChecked(TimePoint now, const ServerProcess &server, ServerLife life);
+  std::vector<std::uint64_t> onServerChecked(TimePoint now,
+                                             const ServerProcess &server,
+                                             ServerCheckResult life);
   /// \returns the keys of the requests that may ask the replicas now.
   std::vector<std::uint64_t> takeSettled(TimePoint now);
   /// A server ran the request and its process still runs.
@@ -67,13 +68,13 @@
 
   /// The process was suspended or stalled: what it knows of the quarantine may
   /// be outdated.
-  void onWake(TimePoint now) { OutdatedSince = now; }
+  void onResume(TimePoint now) { OutdatedSince = now; }
   /// Every decision made before \p at is known.
-  void onKnown(TimePoint at);
+  void onCaughtUp(TimePoint at);
 
 private:
   struct Check {
-    std::vector<RequestAtWork> AtWork;
+    std::vector<InFlightRequest> RequestsInFlight;
     std::vector<std::uint64_t> Waiting;
   };
   void startSettling(TimePoint now, const ServerProcess &server,
@@ -83,9 +84,10 @@
   void endTrial(const ContentHash &content, const AttemptId &holder,
                 TrialEnding ending);
   /// Releases the trial grants that some of \p atWork held.
-  void endTrials(const std::vector<RequestAtWork> &atWork, ServerLife life);
+  void endTrials(const std::vector<InFlightRequest> &atWork,
+                 ServerCheckResult life);
   void reportServerExit(TimePoint now, const ServerProcess &server,
-                        const std::vector<RequestAtWork> &atWork);
+                        const std::vector<InFlightRequest> &atWork);
 
   ForwardBoard &Board;
   std::map<ServerProcess, Check> Checks;
--- a/packages/forward/pimentofront/src/Forward/RoutingDocument.cpp
+++ b/packages/forward/pimentofront/src/Forward/RoutingDocument.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-ColdStart ServiceSpec::coldFor(Duration left) const {
+ColdStart ServiceSpec::coldStartFor(Duration left) const {
   if (ColdPerSecond <= 0)
     return {};
   return {.PerThousandSeconds = toPerThousandSeconds(ColdPerSecond),
--- a/packages/forward/pimentofront/src/Forward/RoutingDocument.h
+++ b/packages/forward/pimentofront/src/Forward/RoutingDocument.h
@@ -108,7 +108,7 @@
 
   /// \returns the cold start of a server that remains cold for \p left; an
   /// empty value if the service doesn't limit cold servers.
-  ColdStart coldFor(Duration left) const;
+  ColdStart coldStartFor(Duration left) const;
 };
 
 /// \class CallerLimits
--- a/packages/forward/pimentofront/src/Forward/SendPermits.cpp
+++ b/packages/forward/pimentofront/src/Forward/SendPermits.cpp
@@ -29,8 +29,8 @@
   it->second.ValidUntil = it->second.ValidFrom;
 }
 
-void SendPermits::want(TimePoint now, const ServerProcess &server,
-                       const RateLimit &limit, const ColdStart &cold) {
+void SendPermits::requestPermit(TimePoint now, const ServerProcess &server,
+                                const RateLimit &limit, const ColdStart &cold) {
   if (Servers.size() >= MaxTrackedServers)
     removeUnused(now);
   ServerState &it = Servers[server];
@@ -48,8 +48,8 @@
   });
 }
 
-TimePoint SendPermits::nextChance(TimePoint now,
-                                  const ServerProcess &server) const {
+TimePoint SendPermits::earliestSendTime(TimePoint now,
+                                        const ServerProcess &server) const {
   const auto it = Servers.find(server);
   if (it == Servers.end())
     return now;
@@ -70,7 +70,7 @@
     return;
   ServerState &known = it->second;
   known.Nonce = 0;
-  known.NextQueryAt = now + reply.ComeBack;
+  known.NextQueryAt = now + reply.RetryAfter;
   if (!reply.Granted)
     return;
   known.ValidFrom = now + reply.Delay;
@@ -87,7 +87,7 @@
   }
 }
 
-bool SendPermits::unanswered(TimePoint now) const {
+bool SendPermits::hasOverdueQuery(TimePoint now) const {
   return std::ranges::any_of(Servers, [&](const auto &it) {
     return it.second.Nonce != 0 && now >= it.second.QueriedAt + QueryTimeout;
   });
--- a/packages/forward/pimentofront/src/Forward/SendPermits.h
+++ b/packages/forward/pimentofront/src/Forward/SendPermits.h
@@ -28,21 +28,21 @@
   /// Asks for a permit because there is a request for \p server. Does nothing
   /// if a permit is held or already asked for, or if the retry-after delay
   /// isn't over.
-  void want(TimePoint now, const ServerProcess &server, const RateLimit &limit,
-            const ColdStart &cold = {});
+  void requestPermit(TimePoint now, const ServerProcess &server,
+                     const RateLimit &limit, const ColdStart &cold = {});
   /// \returns the earliest time at which a permit for \p server can be valid:
   /// the start of a permit that is held, else the time of the next query.
-  TimePoint nextChance(TimePoint now, const ServerProcess &server) const;
+  TimePoint earliestSendTime(TimePoint now, const ServerProcess &server) const;
 
-  bool wantsQuery() const { return !Queries.empty(); }
+  bool hasQueries() const { return !Queries.empty(); }
   /// \returns the queries to send to the leader, and clears the list.
   std::vector<SendPermitQuery> takeQueries();
-  /// Applies the leader's reply; nextChance() reflects it.
+  /// Applies the leader's reply; earliestSendTime() reflects it.
   void onReply(TimePoint now, const SendPermitReply &reply);
   /// Drops the queries that were sent on the link; they have to be sent again.
   void onLinkLost(TimePoint now);
   /// \returns whether a query has had no reply within its timeout.
-  bool unanswered(TimePoint now) const;
+  bool hasOverdueQuery(TimePoint now) const;
 
 private:
   struct ServerState {
--- a/packages/forward/pimentofront/src/Forward/ServerFeedback.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerFeedback.cpp
@@ -11,13 +11,13 @@
 
 } // namespace
 
-std::optional<RateLimit> AnswerFeedback::limitWord(TimePoint now,
-                                                   TimePoint sentAt) const {
+std::optional<RateLimit> AnswerFeedback::impliedLimit(TimePoint now,
+                                                      TimePoint sentAt) const {
   if (LimitPerSecond)
     return RateLimit{.Named = true,
                      .PerThousandSeconds =
                          toPerThousandSeconds(*LimitPerSecond)};
-  if (!Unreadable.empty())
+  if (!MalformedHeader.empty())
     return std::nullopt;
   return RateLimit{.Age = now - sentAt};
 }
@@ -36,13 +36,13 @@
     if (!text.empty())
       changes += (changes.empty() ? "" : "; ") + text;
   };
-  if (!answer.Unreadable.empty())
-    add("unreadable header " + answer.Unreadable);
-  if (const auto reported = answer.limitWord(now, sentAt))
+  if (!answer.MalformedHeader.empty())
+    add("unreadable header " + answer.MalformedHeader);
+  if (const auto reported = answer.impliedLimit(now, sentAt))
     add(applyLimit(now, *reported));
-  if (answer.Rest) {
-    add("backoff " + std::to_string(toSeconds(*answer.Rest)) + " s");
-    RestUntil = std::max(RestUntil, now + *answer.Rest);
+  if (answer.Backoff) {
+    add("backoff " + std::to_string(toSeconds(*answer.Backoff)) + " s");
+    BackoffUntil = std::max(BackoffUntil, now + *answer.Backoff);
   }
   if (answer.Leaving && !Leaving)
     add("leaving");
--- a/packages/forward/pimentofront/src/Forward/ServerFeedback.h
+++ b/packages/forward/pimentofront/src/Forward/ServerFeedback.h
@@ -17,13 +17,13 @@
   /// Rate limit, in requests a second from all entries together.
   std::optional<double> LimitPerSecond;
   /// Backoff: how long this entry must send the server nothing.
-  std::optional<Duration> Rest;
+  std::optional<Duration> Backoff;
   /// The server accepts no new requests from any entry.
   bool Leaving = false;
   /// How long the server will remain cold.
   std::optional<Duration> ColdFor;
   /// Name of a header that couldn't be parsed; empty if all could.
-  std::string Unreadable;
+  std::string MalformedHeader;
   friend auto operator<=>(const AnswerFeedback &,
                           const AnswerFeedback &) = default;
 
@@ -31,7 +31,7 @@
   /// for a request that was sent at \p sentAt. An answer that names no limit
   /// implies that there is none; nothing is returned if a header couldn't be
   /// parsed.
-  std::optional<RateLimit> limitWord(TimePoint now, TimePoint sentAt) const;
+  std::optional<RateLimit> impliedLimit(TimePoint now, TimePoint sentAt) const;
 };
 
 /// \class ServerFeedback
@@ -48,7 +48,7 @@
   /// long.
   static constexpr Duration MaxBackoff = std::chrono::hours(1);
   /// \returns a backoff of \p seconds, capped at the maximum.
-  static Duration boundedRest(double seconds) {
+  static Duration boundedBackoff(double seconds) {
     return fromSeconds(std::min(seconds, toSeconds(MaxBackoff)));
   }
 
@@ -63,15 +63,15 @@
   bool isLimited() const { return Limit.isNamed(); }
   /// \returns the limit and its age, to report to other processes.
   RateLimit limit(TimePoint now) const { return Limit.at(now); }
-  bool isResting(TimePoint now) const { return now < RestUntil; }
-  TimePoint backoffUntil() const { return RestUntil; }
+  bool isBackingOff(TimePoint now) const { return now < BackoffUntil; }
+  TimePoint backoffUntil() const { return BackoffUntil; }
   bool isLeaving() const { return Leaving; }
   friend auto operator<=>(const ServerFeedback &,
                           const ServerFeedback &) = default;
 
 private:
   KnownRateLimit Limit;
-  TimePoint RestUntil;
+  TimePoint BackoffUntil;
   bool Leaving = false;
 };
 
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -67,7 +67,7 @@
   const auto known = Servers.find(record.Host);
   const bool isNew =
       known == Servers.end() ||
-      !maybeSame(known->second.Record.process(), record.process());
+      !mayBeSameProcess(known->second.Record.process(), record.process());
   ServerView &view = Servers[record.Host];
   // Observations of a former process don't apply to the new one.
   if (isNew)
@@ -104,7 +104,8 @@
     if (agent.Drained)
       continue;
     ServerByAgent[host] = it->second->Record.Host;
-    agent.RestUntil = feedbackOf(it->second->Record.process()).backoffUntil();
+    agent.BackoffUntil =
+        feedbackOf(it->second->Record.process()).backoffUntil();
   }
 }
 
@@ -115,10 +116,10 @@
 
 ServerView *ServerSet::find(const ServerProcess &process) {
   ServerView *it = find(process.Name);
-  return it && maybeSame(it->Record.process(), process) ? it : nullptr;
+  return it && mayBeSameProcess(it->Record.process(), process) ? it : nullptr;
 }
 
-ServerView *ServerSet::beside(const HostName &agent) {
+ServerView *ServerSet::serverOfAgent(const HostName &agent) {
   const auto it = ServerByAgent.find(agent);
   return it == ServerByAgent.end() ? nullptr : find(it->second);
 }
@@ -191,14 +192,14 @@
   const ServiceSpec *spec = specOf(server);
   if (!spec || now >= server.ColdUntil)
     return {};
-  return spec->coldFor(server.ColdUntil - now);
+  return spec->coldStartFor(server.ColdUntil - now);
 }
 
 ColdStart ServerSet::coldStartOf(TimePoint now,
                                  const ServerProcess &server) const {
   const auto it = Servers.find(server.Name);
-  const bool known =
-      it != Servers.end() && maybeSame(it->second.Record.process(), server);
+  const bool known = it != Servers.end() &&
+                     mayBeSameProcess(it->second.Record.process(), server);
   return known ? coldStartOf(now, it->second) : ColdStart();
 }
 
@@ -207,21 +208,21 @@
          feedbackOf(server.Record.process()).isLimited();
 }
 
-void ServerSet::onEntries(TimePoint now, std::uint32_t entries) {
+void ServerSet::onEntryCount(TimePoint now, std::uint32_t entries) {
   Entries.recordCount(now, entries);
 }
 
-ConnectionPart ServerSet::connections(TimePoint now,
-                                      const ServerView &server) const {
+ConnectionLimits ServerSet::connections(TimePoint now,
+                                        const ServerView &server) const {
   const ServiceSpec *spec = specOf(server);
   const std::uint32_t cap = spec ? spec->MaxConnections : 0;
   return server.Connections.part(now, cap, Entries.value(),
                                  Options.Connections);
 }
 
-void ServerSet::noteTurnedAway(TimePoint now, const ServerProcess &server) {
+void ServerSet::recordRejection(TimePoint now, const ServerProcess &server) {
   if (ServerView *it = find(server))
-    it->Connections.noteTurnedAway(now, Options.Connections);
+    it->Connections.recordRejection(now, Options.Connections);
 }
 
 bool ServerSet::isLeaving(const ServerView &server) const {
@@ -236,7 +237,7 @@
                        const AllowedZones &zones) const {
   return belongsTo(server.Record, service) && isInUse(server) &&
          zones.contains(server.Record.Zone) &&
-         !feedbackOf(server.Record.process()).isResting(now) &&
+         !feedbackOf(server.Record.process()).isBackingOff(now) &&
          std::ranges::find(without, server.Record.process()) == without.end() &&
          server.InFlight < connections(now, server).Open;
 }
@@ -267,7 +268,7 @@
       continue;
     if (isPaced(now, it) && !permits.has(now, it.Record.process()))
       continue;
-    const std::pair<bool, double> rank{now < it.SuspendedUntil,
+    const std::pair<bool, double> rank{now < it.EjectedUntil,
                                        scoreOf(now, it, failures)};
     if (best && rank >= bestRank)
       continue;
@@ -277,13 +278,13 @@
   return best;
 }
 
-void ServerSet::noteSent(const ServerProcess &server) {
+void ServerSet::recordSent(const ServerProcess &server) {
   if (ServerView *it = find(server))
     ++it->InFlight;
 }
 
-void ServerSet::noteEnded(TimePoint now, const ServerProcess &server,
-                          ServerOutcome outcome) {
+void ServerSet::recordOutcome(TimePoint now, const ServerProcess &server,
+                              ServerOutcome outcome) {
   ServerView *it = find(server);
   if (!it)
     return;
@@ -293,7 +294,7 @@
   const bool failed = outcome != ServerOutcome::Answered;
   it->FailureShare += Options.FailureWeight * (failed - it->FailureShare);
   if (outcome == ServerOutcome::Unreachable) {
-    it->SuspendedUntil = now + backoffDelay(Options.SuspendTime, it->Failures);
+    it->EjectedUntil = now + backoffDelay(Options.EjectionTime, it->Failures);
     ++it->Failures;
   } else {
     it->Failures = 0;
@@ -312,17 +313,17 @@
   if (server.FailureShare < mean + Options.EjectThreshold)
     return;
   const auto suspended = std::ranges::count_if(
-      Agents, [&](const auto &it) { return it.second.SuspendedUntil > now; });
+      Agents, [&](const auto &it) { return it.second.EjectedUntil > now; });
   if (static_cast<double>(suspended) >=
       Options.MaxEjectedShare * static_cast<double>(Agents.size()))
     return;
-  Agents[agent->first].SuspendedUntil = now + Options.EjectTime;
+  Agents[agent->first].EjectedUntil = now + Options.EjectTime;
   // Otherwise its first failure after the ejection would eject it again.
   server.FailureShare = mean;
 }
 
-void ServerSet::noteLoad(TimePoint now, const ServerProcess &server,
-                         const ServerLoad &load) {
+void ServerSet::recordLoad(TimePoint now, const ServerProcess &server,
+                           const ServerLoad &load) {
   if (ServerView *it = find(server)) {
     it->Load = load;
     it->LoadReportedAt = now;
@@ -334,21 +335,22 @@
   // Late feedback of a former process doesn't apply to the registered one.
   const auto registered = Servers.find(server.Name);
   if (registered != Servers.end() &&
-      !maybeSame(registered->second.Record.process(), server))
+      !mayBeSameProcess(registered->second.Record.process(), server))
     return nullptr;
   if (Feedback.size() >= MaxFeedbackEntries)
     std::erase_if(Feedback, [&](const auto &it) {
       return it.first != server.Name && !find(it.second.Process);
     });
   FeedbackEntry &it = Feedback[server.Name];
-  if (!maybeSame(it.Process, server))
+  if (!mayBeSameProcess(it.Process, server))
     it = {.Process = server};
   return &it.Feedback;
 }
 
-std::string ServerSet::noteFeedback(TimePoint now, const ServerProcess &server,
-                                    const AnswerFeedback &feedback,
-                                    TimePoint sentAt) {
+std::string ServerSet::recordFeedback(TimePoint now,
+                                      const ServerProcess &server,
+                                      const AnswerFeedback &feedback,
+                                      TimePoint sentAt) {
   if (feedback == AnswerFeedback() && !Feedback.contains(server.Name))
     return {};
   if (ServerView *view = find(server); view && feedback.ColdFor)
@@ -360,7 +362,7 @@
   std::string changes = it->apply(now, feedback, sentAt);
   if (it->isLeaving() != wasLeaving)
     matchAgentsToServers();
-  if (feedback.Rest)
+  if (feedback.Backoff)
     updateAgentBackoff(server);
   return changes;
 }
@@ -369,7 +371,7 @@
   const TimePoint until = feedbackOf(server).backoffUntil();
   for (const auto &[agent, host] : ServerByAgent)
     if (host == server.Name)
-      Agents.at(agent).RestUntil = until;
+      Agents.at(agent).BackoffUntil = until;
 }
 
 FeedbackCounts ServerSet::countFeedback(TimePoint now) const {
@@ -377,16 +379,16 @@
   for (const auto &[host, it] : Servers) {
     const ServerFeedback feedback = feedbackOf(it.Record.process());
     counts.Limited += feedback.isLimited() ? 1 : 0;
-    counts.Resting += feedback.isResting(now) ? 1 : 0;
+    counts.BackingOff += feedback.isBackingOff(now) ? 1 : 0;
     counts.Leaving += feedback.isLeaving() ? 1 : 0;
     counts.Cold += coldStartOf(now, it).isCold() ? 1 : 0;
   }
   return counts;
 }
 
-std::optional<TimePoint> ServerSet::restOver(TimePoint now,
-                                             const ServiceName &service,
-                                             const AllowedZones &zones) const {
+std::optional<TimePoint>
+ServerSet::earliestBackoffEnd(TimePoint now, const ServiceName &service,
+                              const AllowedZones &zones) const {
   std::optional<TimePoint> first;
   for (const auto &[host, it] : Servers) {
     if (!belongsTo(it.Record, service) || !isInUse(it) ||
@@ -400,8 +402,8 @@
   return first;
 }
 
-std::string ServerSet::noteLimit(TimePoint now, const ServerProcess &server,
-                                 const RateLimit &limit) {
+std::string ServerSet::recordLimit(TimePoint now, const ServerProcess &server,
+                                   const RateLimit &limit) {
   if (!limit.Named)
     return {};
   ServerFeedback *it = findOrAddFeedback(server);
@@ -411,27 +413,26 @@
 ServerFeedback ServerSet::feedbackOf(const ServerProcess &server) const {
   const auto it = Feedback.find(server.Name);
   const bool known =
-      it != Feedback.end() && maybeSame(it->second.Process, server);
+      it != Feedback.end() && mayBeSameProcess(it->second.Process, server);
   return known ? it->second.Feedback : ServerFeedback();
 }
 
-void ServerSet::noteProcessEnded(TimePoint now, const ServerProcess &server) {
+void ServerSet::recordProcessExit(TimePoint now, const ServerProcess &server) {
   ServerView *view = find(server);
   if (!view)
     return;
-  view->SuspendedUntil =
-      now + backoffDelay(Options.SuspendTime, view->Failures);
+  view->EjectedUntil = now + backoffDelay(Options.EjectionTime, view->Failures);
   for (const auto &[agent, host] : ServerByAgent)
     if (host == server.Name)
-      suspendAgent(now, agent);
+      ejectAgent(now, agent);
 }
 
-void ServerSet::suspendAgent(TimePoint now, const HostName &agent) {
+void ServerSet::ejectAgent(TimePoint now, const HostName &agent) {
   const auto it = Agents.find(agent);
   if (it == Agents.end())
     return;
-  it->second.SuspendedUntil =
-      now + backoffDelay(Options.SuspendTime, it->second.Failures);
+  it->second.EjectedUntil =
+      now + backoffDelay(Options.EjectionTime, it->second.Failures);
   ++it->second.Failures;
 }
 
--- a/packages/forward/pimentofront/src/Forward/ServerSet.h
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.h
@@ -23,7 +23,7 @@
   TimePoint LoadReportedAt;
   /// Set after connections failed. Until then the server is chosen only if no
   /// other server is available.
-  TimePoint SuspendedUntil;
+  TimePoint EjectedUntil;
   /// The server counts as cold until then.
   TimePoint ColdUntil;
   std::uint32_t Failures = 0;
@@ -53,7 +53,7 @@
 /// off, are leaving or are cold.
 struct FeedbackCounts {
   std::uint32_t Limited = 0;
-  std::uint32_t Resting = 0;
+  std::uint32_t BackingOff = 0;
   std::uint32_t Leaving = 0;
   std::uint32_t Cold = 0;
   friend auto operator<=>(const FeedbackCounts &,
@@ -71,7 +71,7 @@
   double ZonePreference = 0.5;
   /// How long a server is avoided after its first connection failure. Doubles
   /// with each further failure, up to 16 times this value.
-  Duration SuspendTime = std::chrono::milliseconds(250);
+  Duration EjectionTime = std::chrono::milliseconds(250);
   /// Age at which a load report expires: loads change within a few requests.
   Duration LoadLifetime = std::chrono::seconds(1);
   /// Weight of the newest answer in the share of failures; 0.2 averages over
@@ -116,12 +116,12 @@
   /// registered under its name.
   ServerView *find(const ServerProcess &process);
   /// \returns the server on the agent's host, or null if none there is in use.
-  ServerView *beside(const HostName &agent);
+  ServerView *serverOfAgent(const HostName &agent);
   /// Takes the limits of each service (connections, cold start) from
   /// \p document.
   void useDocument(const RoutingDocument &document);
   /// Sets the number of entries that share the connections of each server.
-  void onEntries(TimePoint now, std::uint32_t entries);
+  void onEntryCount(TimePoint now, std::uint32_t entries);
   /// \returns the server of \p service with the best score for one more
   /// request, or null if there is none. Skips servers in \p without or outside
   /// \p zones, servers to which this entry has all the connections that it may
@@ -149,37 +149,38 @@
   const std::map<HostName, ServerView> &servers() const { return Servers; }
 
   /// \returns how many connections this entry may have to \p server.
-  ConnectionPart connections(TimePoint now, const ServerView &server) const;
-  void noteSent(const ServerProcess &server);
+  ConnectionLimits connections(TimePoint now, const ServerView &server) const;
+  void recordSent(const ServerProcess &server);
   /// Records that the server closed a new connection without any answer.
-  void noteTurnedAway(TimePoint now, const ServerProcess &server);
-  void noteEnded(TimePoint now, const ServerProcess &server,
-                 ServerOutcome outcome);
-  void noteLoad(TimePoint now, const ServerProcess &server,
-                const ServerLoad &load);
+  void recordRejection(TimePoint now, const ServerProcess &server);
+  void recordOutcome(TimePoint now, const ServerProcess &server,
+                     ServerOutcome outcome);
+  void recordLoad(TimePoint now, const ServerProcess &server,
+                  const ServerLoad &load);
   /// Records the feedback in an answer to a request that was sent at \p sentAt.
   /// \returns what changed, for the log; empty if nothing did.
-  std::string noteFeedback(TimePoint now, const ServerProcess &server,
-                           const AnswerFeedback &feedback, TimePoint sentAt);
+  std::string recordFeedback(TimePoint now, const ServerProcess &server,
+                             const AnswerFeedback &feedback, TimePoint sentAt);
   /// Records the server's rate limit as another process reported it.
   /// \returns what changed, for the log; empty if nothing did.
-  std::string noteLimit(TimePoint now, const ServerProcess &server,
-                        const RateLimit &limit);
+  std::string recordLimit(TimePoint now, const ServerProcess &server,
+                          const RateLimit &limit);
   /// \returns the earliest end of the backoffs if all servers of the service
   /// that are in use in \p zones are backing off; nothing if one of them isn't,
   /// or if there is none.
-  std::optional<TimePoint> restOver(TimePoint now, const ServiceName &service,
-                                    const AllowedZones &zones = {}) const;
+  std::optional<TimePoint>
+  earliestBackoffEnd(TimePoint now, const ServiceName &service,
+                     const AllowedZones &zones = {}) const;
   /// \returns the latest feedback of this process.
   ServerFeedback feedbackOf(const ServerProcess &server) const;
   /// \returns the rate at which this process takes requests while it is cold,
   /// and for how long yet; an empty value if it isn't cold.
   ColdStart coldStartOf(TimePoint now, const ServerProcess &server) const;
   FeedbackCounts countFeedback(TimePoint now) const;
-  void suspendAgent(TimePoint now, const HostName &agent);
+  void ejectAgent(TimePoint now, const HostName &agent);
   /// Records that the process exited and that no other process of the server
   /// has started yet.
-  void noteProcessEnded(TimePoint now, const ServerProcess &server);
+  void recordProcessExit(TimePoint now, const ServerProcess &server);
 
 private:
   /// Copies the end of the server's backoff to the agent on its host.
--- a/packages/http/pimentofront/src/Http/CallerListener.h
+++ b/packages/http/pimentofront/src/Http/CallerListener.h
@@ -23,7 +23,7 @@
   virtual void onRequest(CallerKey key, RequestHead head, std::string body,
                          const ContentHash &bodyHash) = 0;
   /// The caller went away before it had its whole answer.
-  virtual void onCallerGone(CallerKey key) = 0;
+  virtual void onCallerDisconnected(CallerKey key) = 0;
 };
 
 /// \class CallerListenerOptions
--- a/packages/http/pimentofront/src/Http/ConnectProbe.cpp
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.cpp
@@ -12,10 +12,11 @@
 /// processor; a caller waits meanwhile.
 constexpr Duration Timeout = std::chrono::milliseconds(150);
 
-ServerLife lifeBy(int error) {
+ServerCheckResult lifeBy(int error) {
   if (error == 0)
-    return ServerLife::Lives;
-  return error == ECONNREFUSED ? ServerLife::Ended : ServerLife::Unknown;
+    return ServerCheckResult::StillRunning;
+  return error == ECONNREFUSED ? ServerCheckResult::Exited
+                               : ServerCheckResult::Unknown;
 }
 
 } // namespace
@@ -64,16 +65,17 @@
   // takes the error from the socket, which would then look connected.
   if (result != 0 && errno == ECONNREFUSED) {
     slot->End = Loop.after(Duration::zero(),
-                           [this, id] { end(id, ServerLife::Ended); });
+                           [this, id] { end(id, ServerCheckResult::Exited); });
     return;
   }
   slot->Ready =
       event_new(Loop.base(), slot->Socket, EV_WRITE, Try::onReady, slot.get());
   event_add(slot->Ready, nullptr);
-  slot->End = Loop.after(Timeout, [this, id] { end(id, ServerLife::Unknown); });
+  slot->End =
+      Loop.after(Timeout, [this, id] { end(id, ServerCheckResult::Unknown); });
 }
 
-void ConnectProbe::end(std::uint64_t id, ServerLife life) {
+void ConnectProbe::end(std::uint64_t id, ServerCheckResult life) {
   const auto found = Tries.extract(id);
   if (found)
     found.mapped()->Done(life);
--- a/packages/http/pimentofront/src/Http/ConnectProbe.h
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.h
@@ -16,7 +16,7 @@
 /// that carries nothing: a host refuses those to a process that has ended.
 class ConnectProbe {
 public:
-  using Callback = std::function<void(ServerLife)>;
+  using Callback = std::function<void(ServerCheckResult)>;
 
   explicit ConnectProbe(EventLoop &loop);
   ~ConnectProbe();
@@ -28,7 +28,7 @@
 
 private:
   struct Try;
-  void end(std::uint64_t id, ServerLife life);
+  void end(std::uint64_t id, ServerCheckResult life);
 
   EventLoop &Loop;
   std::uint64_t LastId = 0;
--- a/packages/http/pimentofront/src/Http/HttpParser.cpp
+++ b/packages/http/pimentofront/src/Http/HttpParser.cpp
@@ -16,7 +16,7 @@
 
 /// The library takes `Name : value` for a header whose name ends in a space;
 /// another program may take it for `Name`.
-bool isProperName(const std::string &name) {
+bool isValidName(const std::string &name) {
   return !name.empty() && std::ranges::all_of(name, isTokenChar);
 }
 
@@ -108,7 +108,7 @@
     constexpr int NoBody = 1;
     self.HeadDone = true;
     for (const HttpHeader &it : self.Headers)
-      if (!isProperName(it.Name) || !isProperCoding(it))
+      if (!isValidName(it.Name) || !isProperCoding(it))
         return -self.fail(HttpFault::Malformed);
     // Other protocols aren't spoken here.
     parser->upgrade = 0;
--- a/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
@@ -87,7 +87,7 @@
   Ours = true;
   if (Ignored)
     return false;
-  Ours = Owner.Handler.onHead(*Attempt, std::move(head)) == HeadVerdict::Take;
+  Ours = Owner.Handler.onHead(*Attempt, std::move(head)) == HeadDecision::Take;
   return Ours;
 }
 
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -51,7 +51,7 @@
 }
 
 void UpstreamPool::useProcess(Peer &peer, const ServerProcess &process) {
-  const bool same = maybeSame(peer.Server, process);
+  const bool same = mayBeSameProcess(peer.Server, process);
   peer.Server = process;
   // Ending one takes it from the list.
   while (!same && !peer.Kept.empty())
@@ -94,7 +94,7 @@
 
 void UpstreamPool::keep(detail::UpstreamChannel &channel) {
   Peer &peer = Peers.at(channel.address());
-  if (!maybeSame(channel.server(), peer.Server))
+  if (!mayBeSameProcess(channel.server(), peer.Server))
     return channel.end();
   peer.Kept.push_back(channel.id());
   // The share may have shrunk meanwhile.
--- a/packages/http/pimentofront/src/Http/UpstreamPool.h
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.h
@@ -14,7 +14,7 @@
 class UpstreamHandler {
 public:
   virtual ~UpstreamHandler() = default;
-  virtual HeadVerdict onHead(const AttemptId &attempt, ResponseHead head) = 0;
+  virtual HeadDecision onHead(const AttemptId &attempt, ResponseHead head) = 0;
   virtual void onBody(const AttemptId &attempt, std::string_view bytes) = 0;
   virtual void onEnd(const AttemptId &attempt, UpstreamEnding ending) = 0;
 };
@@ -73,7 +73,7 @@
   /// Connections to one address.
   struct Peer {
     std::uint32_t Open = 0;
-    ConnectionPart Part;
+    ConnectionLimits Part;
     /// The process that is there now.
     ServerProcess Server;
     /// Those without a request, the last used one at the end.
--- a/packages/node/pimentofront/src/Node/AgentLinks.h
+++ b/packages/node/pimentofront/src/Node/AgentLinks.h
@@ -30,7 +30,7 @@
   /// \returns the link, or null if it isn't one to an agent.
   const AgentLink *find(LinkId link) const;
   void onOpen(LinkId link);
-  void onHeard(LinkId link) { Watch.noteHeard(link); }
+  void onReceived(LinkId link) { Watch.noteHeard(link); }
   /// \returns what the link was.
   AgentLink onClosed(LinkId link);
   /// \returns links to hosts that are gone, or at another address now.
--- a/packages/node/pimentofront/src/Node/AgentNode.h
+++ b/packages/node/pimentofront/src/Node/AgentNode.h
@@ -77,7 +77,7 @@
   /// The process that entries named has ended; another one may have begun.
   void onEngineRestarted(TimePoint now);
   /// \returns time left of the lease on membership.
-  Duration leaseLeft(TimePoint now) const;
+  Duration remainingLease(TimePoint now) const;
 
 private:
   void onLeaderMessage(TimePoint now, const Message &message);
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -34,7 +34,7 @@
   if (Feed.owns(link))
     Feed.onLinkOpen(now);
   else if (Leader.owns(link))
-    Leader.onHeard(now);
+    Leader.onReceived(now);
   else
     Agents.onOpen(link);
 }
@@ -63,7 +63,7 @@
 void EntryNode::onReplicaMessage(TimePoint now, const Message &message) {
   const FeedNews news = Feed.onMessage(now, message);
   if (news.Drains)
-    Controller.onDrains();
+    Controller.onDrainsChanged();
   if (news.Members) {
     Controller.onMembers(now, *news.Members);
     dropStaleAgentLinks(now);
@@ -96,13 +96,13 @@
   if (Feed.owns(link)) {
     onReplicaMessage(now, message);
   } else if (Leader.owns(link)) {
-    Leader.onHeard(now);
+    Leader.onReceived(now);
     if (const auto *decided = std::get_if<ProposeReply>(&message))
       Proposals.onReply(now, *decided);
     if (const auto *redirect = std::get_if<NotLeader>(&message))
       Proposals.onRedirect(now, *redirect);
   } else if (const AgentLink *agent = Agents.find(link)) {
-    Agents.onHeard(link);
+    Agents.onReceived(link);
     onAgentMessage(now, HostName(agent->Host), message);
   }
   flush(now);
@@ -134,7 +134,7 @@
   constexpr Duration AdminTimeout = std::chrono::seconds(2);
   AdminCalls[request.Nonce] = {.Request = request,
                                .Link = replica.empty() ? 0 : *link,
-                               .GiveUpAt = now + AdminTimeout,
+                               .ProposeUntil = now + AdminTimeout,
                                .Done = std::move(done)};
   Network.send(*link, request);
 }
@@ -160,7 +160,7 @@
 }
 
 void EntryNode::callerGone(TimePoint now, RequestKey key) {
-  Controller.onCallerGone(now, key);
+  Controller.onCallerDisconnected(now, key);
   flush(now);
 }
 
@@ -174,7 +174,7 @@
       Sink.onFinal(final->Key, final->Kind, final->Answer);
     else if (const auto *proposal = std::get_if<ProposeCommand>(&command))
       Proposals.add(
-          proposal->Proposal, proposal->GiveUpAt,
+          proposal->Proposal, proposal->ProposeUntil,
           [this, nonce = proposal->Nonce](TimePoint at, const auto &outcome) {
             Controller.onDecision(at, nonce, outcome);
           });
@@ -188,7 +188,7 @@
   Proposals.tick(now);
   std::vector<std::uint64_t> lateCalls;
   for (const auto &[nonce, it] : AdminCalls)
-    if (now >= it.GiveUpAt)
+    if (now >= it.ProposeUntil)
       lateCalls.push_back(nonce);
   for (const std::uint64_t nonce : lateCalls) {
     const AdminCall call = std::move(AdminCalls.at(nonce));
--- a/packages/node/pimentofront/src/Node/EntryNode.h
+++ b/packages/node/pimentofront/src/Node/EntryNode.h
@@ -78,7 +78,7 @@
   struct AdminCall {
     AdminRequest Request;
     LinkId Link = 0;
-    TimePoint GiveUpAt;
+    TimePoint ProposeUntil;
     StatusCallback Done;
   };
 
--- a/packages/node/pimentofront/src/Node/LeaderLink.cpp
+++ b/packages/node/pimentofront/src/Node/LeaderLink.cpp
@@ -66,7 +66,7 @@
     RetryAt = now;
 }
 
-void LeaderLink::onHeard(TimePoint now) {
+void LeaderLink::onReceived(TimePoint now) {
   HeardAt = now;
   Opened = true;
   NeverOpened = 0;
--- a/packages/node/pimentofront/src/Node/LeaderLink.h
+++ b/packages/node/pimentofront/src/Node/LeaderLink.h
@@ -30,7 +30,7 @@
   const std::vector<std::string> &addresses() const { return Addresses; }
   bool owns(LinkId link) const { return Link && *Link == link; }
   /// The link opened, or anything arrived on it.
-  void onHeard(TimePoint now);
+  void onReceived(TimePoint now);
   void onClosed(TimePoint now);
   /// The replica there doesn't lead; \p address does, if it is set.
   void onRedirect(TimePoint now, const std::string &address);
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
@@ -13,7 +13,7 @@
   SeenSince = now;
 }
 
-void LedgerKeeper::lead(TimePoint now, Term term) {
+void LedgerKeeper::startLeading(TimePoint now, Term term) {
   if (Led == term)
     return;
   noteTerm(now, term);
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.h
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.h
@@ -20,12 +20,12 @@
   void noteTerm(TimePoint now, Term term);
   /// This replica leads in \p term, under its lease. Begins the ledger at once:
   /// buckets fill before anybody asks.
-  void lead(TimePoint now, Term term);
-  /// \pre lead() was called for \p term.
+  void startLeading(TimePoint now, Term term);
+  /// \pre startLeading() was called for \p term.
   AllotmentGrants onReport(TimePoint now, const Configuration &configuration,
                            const AllotmentReport &report);
   /// \returns what is known of the accounts, for operators.
-  /// \pre lead() was called for the present term.
+  /// \pre startLeading() was called for the present term.
   std::vector<AccountStatus> status(TimePoint now,
                                     const Configuration &configuration);
 
@@ -34,7 +34,7 @@
 
   AllotmentRules Rules;
   const DocumentCodec *Documents;
-  LeasesByUse Sizing;
+  UsageBasedLeases Sizing;
   AllotmentLedger Ledger;
   Term Led = 0;
   /// The newest term, and whether another ledger can have begun in the last
--- a/packages/node/pimentofront/src/Node/ProposalQueue.cpp
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.cpp
@@ -11,7 +11,7 @@
 void ProposalQueue::add(const Command &command, TimePoint giveUpAt,
                         Callback done) {
   Proposals[++LastNonce] = {
-      .Content = command, .GiveUpAt = giveUpAt, .Done = std::move(done)};
+      .Content = command, .ProposeUntil = giveUpAt, .Done = std::move(done)};
 }
 
 void ProposalQueue::send(TimePoint now) {
@@ -51,7 +51,7 @@
 void ProposalQueue::tick(TimePoint now) {
   std::vector<std::uint64_t> late;
   for (const auto &[nonce, it] : Proposals)
-    if (now >= it.GiveUpAt)
+    if (now >= it.ProposeUntil)
       late.push_back(nonce);
   for (const std::uint64_t it : late)
     end(now, it, std::nullopt);
--- a/packages/node/pimentofront/src/Node/ProposalQueue.h
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.h
@@ -40,7 +40,7 @@
 private:
   struct Proposal {
     Command Content;
-    TimePoint GiveUpAt;
+    TimePoint ProposeUntil;
     /// Link on which it was sent last, and when.
     LinkId SentOn = 0;
     TimePoint SentAt;
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -27,7 +27,7 @@
               silenceLimit(options.ProbePeriod)) {}
 
 void ReplicaFeed::onLinkOpen(TimePoint now) {
-  Replica.onHeard(now);
+  Replica.onReceived(now);
   subscribe(now);
 }
 
@@ -67,7 +67,7 @@
 }
 
 FeedNews ReplicaFeed::onMessage(TimePoint now, const Message &message) {
-  Replica.onHeard(now);
+  Replica.onReceived(now);
   FeedNews news;
   if (const auto *it = std::get_if<ConfigurationUpdate>(&message)) {
     news.Drains = Copy.apply(*it);
--- a/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
+++ b/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
@@ -2,7 +2,7 @@
 #define PIMENTOFRONT_SERVING_ADAPTIVE_LOADS_H
 
 #include "LoadGate.h"
-#include "StoreSpeed.h"
+#include "StoreSlowdown.h"
 
 namespace pimentofront {
 
@@ -19,7 +19,7 @@
   /// Jain, 1989).
   double Increase = 0.5;
   double Decrease = 0.5;
-  StoreSpeedOptions Speed;
+  StoreSlowdownOptions Speed;
 };
 
 /// \class AdaptiveLoads
@@ -49,7 +49,7 @@
   AdaptiveLoadsOptions Options;
   double Limit;
   std::uint32_t LoadsInProgress = 0;
-  StoreSpeed Speed;
+  StoreSlowdown Speed;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -35,7 +35,7 @@
 }
 
 void AdmissionController::refuseBeyondRateLimit(TimePoint now) {
-  if (!Board.Pacer.paces(now))
+  if (!Board.Pacer.isPacing(now))
     return;
   std::vector<const WaitingAttempt *> waiting;
   for (const auto &[key, queue] : Board.Waiting)
@@ -58,7 +58,7 @@
   }
 }
 
-LoadFigures AdmissionController::figures(TimePoint now) const {
+AgentLoad AdmissionController::figures(TimePoint now) const {
   // Without a slot to evict, a load would have to wait for one.
   double victim = Board.Slots.hasEmpty() ? 0 : MaxVictimValue;
   for (const Slot &it : Board.Slots.all())
@@ -100,8 +100,8 @@
 
 AdmissionController::Decision AdmissionController::evaluateMissing(
     TimePoint now, const ExecuteRequest &request, Duration firstEvent) const {
-  const auto failed = Board.SetAside.find(request.Key);
-  if (failed != Board.SetAside.end() && failed->second.Until > now)
+  const auto failed = Board.LoadBackoffs.find(request.Key);
+  if (failed != Board.LoadBackoffs.end() && failed->second.Until > now)
     return {RefusalReason::LoadFailed, failed->second.Until - now};
   const bool demanded = Board.Waiting.contains(request.Key);
   if (demanded)
@@ -174,8 +174,8 @@
                             ? queueWait(now)
                             : std::max(queueWait(now), slotWait(key));
   return ends + (ready ? Duration::zero() : Board.LoadTimes.expected(key)) +
-         Board.Prefill.wait(now) + Board.Prefill.reading(key, request.Parts) +
-         engineDelay(now);
+         Board.Prefill.wait(now) +
+         Board.Prefill.prefillTime(key, request.Parts) + engineDelay(now);
 }
 
 Duration AdmissionController::engineDelay(TimePoint now) const {
@@ -219,16 +219,16 @@
 }
 
 void AdmissionController::refuse(EntryLink entry, const AttemptId &attempt,
-                                 Decision decision,
-                                 const LoadFigures &figures) {
+                                 Decision decision, const AgentLoad &figures) {
   // An entry compares these waits between hosts, so they get no jitter.
-  const Duration comeBack = onlyAskedAround(decision.Reason)
-                                ? decision.ComeBack
-                                : withJitter(Board.Jitter, decision.ComeBack);
+  const Duration retryAfter =
+      isConditionalRefusal(decision.Reason)
+          ? decision.RetryAfter
+          : withJitter(Board.Jitter, decision.RetryAfter);
   Board.Commands.push_back(SendToEntry{entry, AttemptRefused{
                                                   .Attempt = attempt,
                                                   .Reason = decision.Reason,
-                                                  .ComeBack = comeBack,
+                                                  .RetryAfter = retryAfter,
                                                   .Load = figures,
                                                   .Holds = decision.Holds,
                                               }});
@@ -240,8 +240,8 @@
   const bool toEngine = request.Service.empty();
   // A probe that is refused with `Busy` or `NotResident` is not yet demand for
   // this host.
-  if (toEngine && !onlyAskedAround(decision.Reason))
-    Board.Popularity.noteRequest(now, request.Key);
+  if (toEngine && !isConditionalRefusal(decision.Reason))
+    Board.Popularity.recordRequest(now, request.Key);
   if (decision.Reason != RefusalReason::None)
     return refuse(entry, request.Attempt, decision, figures(now));
   const TimePoint deadline = now + request.Remaining;
@@ -273,7 +273,7 @@
 
 void AdmissionController::refuseInfeasible(TimePoint now) {
   refuseBeyondRateLimit(now);
-  std::optional<LoadFigures> currentFigures;
+  std::optional<AgentLoad> currentFigures;
   for (auto it = Board.Waiting.begin(); it != Board.Waiting.end();) {
     auto &[key, queue] = *it;
     const bool ready = Board.Slots.isReady(key);
@@ -300,20 +300,20 @@
 
 void AdmissionController::refuseWaiting(const AdapterKey &key,
                                         RefusalReason reason,
-                                        Duration comeBack) {
+                                        Duration retryAfter) {
   const auto it = Board.Waiting.find(key);
   if (it == Board.Waiting.end())
     return;
   for (const WaitingAttempt &attempt : it->second)
-    refuse(attempt.Entry, attempt.Request.Attempt, {reason, comeBack}, {});
+    refuse(attempt.Entry, attempt.Request.Attempt, {reason, retryAfter}, {});
   Board.WaitingCount -= it->second.size();
   Board.Waiting.erase(it);
 }
 
 void AdmissionController::refuseAllWaiting(RefusalReason reason,
-                                           Duration comeBack) {
+                                           Duration retryAfter) {
   while (!Board.Waiting.empty())
-    refuseWaiting(AdapterKey(Board.Waiting.begin()->first), reason, comeBack);
+    refuseWaiting(AdapterKey(Board.Waiting.begin()->first), reason, retryAfter);
 }
 
 bool AdmissionController::removeWaiting(const AttemptId &attempt) {
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.h
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.h
@@ -22,20 +22,20 @@
   void onLoadWait(TimePoint now, const AdapterKey &key, Duration wait);
   /// Refuses all requests that wait for \p key.
   void refuseWaiting(const AdapterKey &key, RefusalReason reason,
-                     Duration comeBack);
+                     Duration retryAfter);
   /// Refuses all waiting requests.
-  void refuseAllWaiting(RefusalReason reason, Duration comeBack);
+  void refuseAllWaiting(RefusalReason reason, Duration retryAfter);
   /// Removes a waiting attempt that was cancelled or whose entry is gone.
   /// \returns whether it was waiting.
   bool removeWaiting(const AttemptId &attempt);
 
   /// \returns the load figures that are sent with answers.
-  LoadFigures figures(TimePoint now) const;
+  AgentLoad figures(TimePoint now) const;
 
 private:
   struct Decision {
     RefusalReason Reason = RefusalReason::None;
-    Duration ComeBack = Duration::zero();
+    Duration RetryAfter = Duration::zero();
     /// The adapter is resident or being loaded.
     bool Holds = false;
   };
@@ -68,7 +68,7 @@
   /// \returns the estimated wait of a new load.
   Duration loadBacklog(TimePoint now) const;
   void refuse(EntryLink entry, const AttemptId &attempt, Decision decision,
-              const LoadFigures &figures);
+              const AgentLoad &figures);
 
   AgentBoard &Board;
 };
--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -50,14 +50,14 @@
   double StallShare = 0.4;
   /// Utility of a late answer relative to an answer on time, for the choice of
   /// loads.
-  double LateWorth = 0.4;
+  double LateUtility = 0.4;
   /// Share of its time limit that a request may wait on an idle engine for
   /// other requests to batch with: a shared step costs little more than a step
   /// for one request.
-  double CompanyShare = 0.05;
+  double BatchingShare = 0.05;
   /// Upper bound of that wait, whatever the share: a first token has to come
   /// within about a second.
-  Duration CompanyLimit = std::chrono::milliseconds(400);
+  Duration BatchingWait = std::chrono::milliseconds(400);
   /// Number of waiting requests that end the wait.
   std::uint32_t BatchingTarget = 4;
   /// An engine that was found running must be idle for this long before it is
@@ -68,8 +68,8 @@
   /// the link, and the slot would stay in use.
   Duration ReleaseSlack = std::chrono::seconds(1);
   /// Initial and maximum backoff after failed loads of one adapter.
-  Duration FailedLoadPause = std::chrono::seconds(2);
-  Duration FailedLoadPauseMax = std::chrono::minutes(2);
+  Duration InitialLoadBackoff = std::chrono::seconds(2);
+  Duration MaxLoadBackoff = std::chrono::minutes(2);
 };
 
 /// \class WaitingAttempt
@@ -120,12 +120,12 @@
   bool PrefilledAlone = false;
 };
 
-/// \class FailedLoads
+/// \class LoadBackoff
 /// \ingroup Serving
 /// \brief Backoff of an adapter that failed to load, so that its retries don't
 /// take the loads of other adapters.
-struct FailedLoads {
-  std::uint32_t InSequence = 0;
+struct LoadBackoff {
+  std::uint32_t ConsecutiveFailures = 0;
   TimePoint Until;
 };
 
@@ -187,7 +187,7 @@
   /// When each entry sent its last message.
   std::unordered_map<EntryLink, TimePoint> LastMessageAt;
   std::uint32_t RunningServices = 0;
-  std::unordered_map<AdapterKey, FailedLoads> SetAside;
+  std::unordered_map<AdapterKey, LoadBackoff> LoadBackoffs;
 
   LoadTimeModel LoadTimes;
   /// Smoothed time that this engine takes for a request.
@@ -216,7 +216,7 @@
   bool OwnsEngineProcess = false;
   /// Load orders that the engine hasn't answered, including those sent to an
   /// engine process that has been replaced since.
-  std::uint32_t LoadsUnderWay = 0;
+  std::uint32_t LoadsInFlight = 0;
 
   std::vector<AgentCommand> Commands;
 
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -34,7 +34,7 @@
     Board.Commands.push_back(CancelWork{attempt});
 }
 
-void AgentController::onEntryGone(TimePoint now, EntryLink entry) {
+void AgentController::onEntryDisconnected(TimePoint now, EntryLink entry) {
   Board.LastMessageAt.erase(entry);
   std::vector<AttemptId> waiting;
   for (const auto &[key, queue] : Board.Waiting)
@@ -105,7 +105,7 @@
 }
 
 void AgentController::onRateLimitSeen(TimePoint now,
-                                      const RateLimitSeen &message) {
+                                      const RateLimitReport &message) {
   // Accept a limit only from the engine's current process.
   if (!Board.Running.contains(message.Attempt))
     return;
@@ -180,7 +180,7 @@
       SendToEntry{running.Entry, AttemptRefused{
                                      .Attempt = attempt,
                                      .Reason = RefusalReason::BackendDown,
-                                     .ComeBack = Board.LoadTimes.fromStore(),
+                                     .RetryAfter = Board.LoadTimes.fromStore(),
                                      .Load = Admission.figures(now),
                                  }});
   decide(now);
@@ -197,7 +197,7 @@
                                     bool idle) {
   if (Board.EngineReady)
     return;
-  if (!idle || Board.LoadsUnderWay > 0) {
+  if (!idle || Board.LoadsInFlight > 0) {
     Board.EngineIdleSince.reset();
     return;
   }
@@ -291,7 +291,7 @@
 void AgentController::tick(TimePoint now) {
   Admission.refuseInfeasible(now);
   releaseOverdue(now);
-  std::erase_if(Board.SetAside, [&](const auto &it) {
+  std::erase_if(Board.LoadBackoffs, [&](const auto &it) {
     constexpr Duration RetentionPeriod = std::chrono::minutes(10);
     return it.second.Until + RetentionPeriod < now;
   });
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -24,7 +24,7 @@
   void onCancel(TimePoint now, const AttemptId &attempt);
   /// The link to an entry has ended: cancels the entry's work, except calls of
   /// plain services.
-  void onEntryGone(TimePoint now, EntryLink entry);
+  void onEntryDisconnected(TimePoint now, EntryLink entry);
 
   /// The engine produced a part of an answer.
   void onTokens(TimePoint now, const AttemptId &attempt, std::uint32_t tokens,
@@ -35,7 +35,7 @@
   /// The engine or service rejected an attempt before it began.
   void onWorkNotStarted(TimePoint now, const AttemptId &attempt);
   /// A message of an entry was received, which shows that the entry is running.
-  void onHeard(TimePoint now, EntryLink entry) {
+  void onReceived(TimePoint now, EntryLink entry) {
     Board.LastMessageAt[entry] = now;
   }
   /// The engine has begun to answer a delegated request.
@@ -47,18 +47,20 @@
   RateLimit rateLimit(TimePoint now) const { return Board.Pacer.limit(now); }
   /// \returns the interval between two requests at the engine's present rate;
   /// zero while it is neither limited nor cold.
-  Duration pace(TimePoint now) const { return Board.Pacer.interval(now); }
+  Duration requestInterval(TimePoint now) const {
+    return Board.Pacer.interval(now);
+  }
   /// The entries report that another process of the engine runs now.
   void onProcessChanged() { Board.Pacer.reset(); }
   /// An entry reports the engine's rate limit as an answer named it.
-  void onRateLimitSeen(TimePoint now, const RateLimitSeen &message);
+  void onRateLimitSeen(TimePoint now, const RateLimitReport &message);
   /// The configuration names the engine's number of adapter slots and its batch
   /// capacity.
   void onProfile(TimePoint now, const EngineProfile &profile);
   /// Updates the resident adapters while the engine is in use.
   void onResident(TimePoint now, const std::vector<AdapterKey> &resident);
   /// \returns the load figures that are sent to entries.
-  LoadFigures figures(TimePoint now) const { return Admission.figures(now); }
+  AgentLoad figures(TimePoint now) const { return Admission.figures(now); }
   void onLoadEnded(TimePoint now, const AdapterKey &key, bool succeeded,
                    Duration took);
   /// The engine answers; \p resident are the adapters it holds, \p idle says
--- a/packages/serving/pimentofront/src/Serving/AllowedZones.h
+++ b/packages/serving/pimentofront/src/Serving/AllowedZones.h
@@ -16,7 +16,7 @@
 /// \ingroup Serving
 /// \returns whether the deployment may have that zone. If its zones aren't
 /// known, any zone is possible.
-inline bool mayExist(const ZoneRegions &zones, const ZoneName &zone) {
+inline bool isPossibleZone(const ZoneRegions &zones, const ZoneName &zone) {
   return zones.empty() || zones.contains(zone);
 }
 
--- a/packages/serving/pimentofront/src/Serving/DispatchController.cpp
+++ b/packages/serving/pimentofront/src/Serving/DispatchController.cpp
@@ -33,7 +33,7 @@
 }
 
 bool DispatchController::waitsForBatch(TimePoint now) const {
-  if (Board.Options.CompanyShare <= 0 || Board.runningOnEngine() > 0)
+  if (Board.Options.BatchingShare <= 0 || Board.runningOnEngine() > 0)
     return false;
   std::size_t batchable = 0;
   for (const auto &[key, queue] : Board.Waiting) {
@@ -42,9 +42,9 @@
     batchable += queue.size();
     for (const WaitingAttempt &it : queue) {
       const Duration share = fromSeconds(toSeconds(it.Deadline - it.ArrivedAt) *
-                                         Board.Options.CompanyShare);
+                                         Board.Options.BatchingShare);
       if (now - it.ArrivedAt - it.LoadStall >=
-          std::min(share, Board.Options.CompanyLimit))
+          std::min(share, Board.Options.BatchingWait))
         return false;
     }
   }
@@ -73,9 +73,9 @@
   --Board.WaitingCount;
   Board.Slots.pin(now, candidate.Key);
   const bool alone = Board.Prefill.wait(now) == Duration::zero();
-  const Duration reading =
+  const Duration prefillTime =
       Board.Prefill.wait(now) +
-      Board.Prefill.reading(candidate.Key, attempt.Request.Parts);
+      Board.Prefill.prefillTime(candidate.Key, attempt.Request.Parts);
   const std::uint32_t tokens =
       Board.Prefill.begin(now, candidate.Key, attempt.Request.Parts);
   Board.Running.emplace(attempt.Request.Attempt,
@@ -84,7 +84,7 @@
                                        .Delegated = attempt.Request.Delegated,
                                        .StartedAt = now,
                                        .Deadline = attempt.Deadline,
-                                       .ExpectedAt = now + reading,
+                                       .ExpectedAt = now + prefillTime,
                                        .LoadStall = attempt.LoadStall,
                                        .PromptTokens = tokens,
                                        .PrefilledAlone = alone});
--- a/packages/serving/pimentofront/src/Serving/EntryBoard.h
+++ b/packages/serving/pimentofront/src/Serving/EntryBoard.h
@@ -34,7 +34,7 @@
   /// Time limit that the caller sets; 0 selects the window of the kind.
   Duration Timeout = Duration::zero();
   /// Text of an earlier answer that the new answer continues.
-  std::string Resumed;
+  std::string ResumeText;
 };
 
 /// Outcome of a caller's request.
@@ -57,7 +57,7 @@
   FinalKind Kind = FinalKind::Failed;
   RefusalReason Reason = RefusalReason::None;
   /// Retry-after, for all outcomes but `Answered`.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   /// Answer of a plain service, or the error text.
   std::string Payload;
   AdapterKey Key;
@@ -86,11 +86,11 @@
   FinalAnswer Answer;
 };
 /// Proposes a command to the replicated state. The I/O layer sends it again
-/// until it is decided or until `GiveUpAt`.
+/// until it is decided or until `ProposeUntil`.
 struct ProposeCommand {
   std::uint64_t Nonce = 0;
   Command Proposal;
-  TimePoint GiveUpAt;
+  TimePoint ProposeUntil;
 };
 using EntryCommand =
     std::variant<SendToAgent, DeliverChunk, DeliverFinal, ProposeCommand>;
@@ -112,7 +112,7 @@
   virtual bool isConfirmed(TimePoint now) const = 0;
   /// \returns the time since the query was sent whose answer last confirmed
   /// this configuration as the newest; empty if none was ever answered.
-  virtual std::optional<Duration> confirmedAge(TimePoint now) const = 0;
+  virtual std::optional<Duration> confirmationAge(TimePoint now) const = 0;
 };
 
 /// \class EntryOptions
@@ -128,7 +128,7 @@
   std::uint32_t MaxRetries = 3;
   /// Time for which a host is avoided after its first failure; it doubles with
   /// each further one, up to 16 times this value.
-  Duration SuspendTime = std::chrono::milliseconds(500);
+  Duration EjectionTime = std::chrono::milliseconds(500);
   /// Maximum number of requests in progress in this process.
   std::size_t MaxRequests = 20000;
   /// Retry-after of the refusals by a process that can't confirm its
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -48,13 +48,13 @@
 //===----------------------------------------------------------------------===//
 
 void EntryController::refuseNew(const CallerRequest &request,
-                                RefusalReason reason, Duration comeBack,
+                                RefusalReason reason, Duration retryAfter,
                                 std::string detail) {
   Board.Commands.push_back(
       DeliverFinal{request.Key, request.Kind,
                    FinalAnswer{.Kind = FinalKind::Refused,
                                .Reason = reason,
-                               .ComeBack = Board.Jitter.jitter(comeBack),
+                               .RetryAfter = Board.Jitter.jitter(retryAfter),
                                .Payload = std::move(detail)}});
 }
 
@@ -111,8 +111,8 @@
   request.Deadline =
       now + (timeout > Duration::zero() ? std::min(timeout, kind->Window)
                                         : kind->Window);
-  request.Delivered = request.Caller.Resumed;
-  Board.Budget.noteRequest();
+  request.Delivered = request.Caller.ResumeText;
+  Board.Budget.recordRequest();
   const RequestKey key = request.Caller.Key;
   EntryRequest &placed =
       Board.Requests.emplace(key, std::move(request)).first->second;
@@ -137,7 +137,7 @@
                                   .IssuedAtMilliseconds =
                                       request.Caller.IssuedAtMilliseconds,
                               }},
-      .GiveUpAt = request.Deadline});
+      .ProposeUntil = request.Deadline});
 }
 
 void EntryController::onDecision(TimePoint now, std::uint64_t nonce,
@@ -152,7 +152,7 @@
     // No attempt was sent; finish() withdraws the claim in case it was granted.
     return finish(request, {.Kind = FinalKind::Refused,
                             .Reason = RefusalReason::NoClaim,
-                            .ComeBack = Board.Jitter.jitter(LongRetryAfter),
+                            .RetryAfter = Board.Jitter.jitter(LongRetryAfter),
                             .Payload = "the claim couldn't be committed"});
   if (outcome->Result == CommandResult::Accepted) {
     request.ClaimHeld = true;
@@ -167,7 +167,7 @@
                   {.Kind = FinalKind::Answered, .Payload = outcome->Answer});
   if (outcome->Result == CommandResult::InProgress)
     return finish(request, {.Kind = FinalKind::Unknown,
-                            .ComeBack = Board.Jitter.jitter(LongRetryAfter),
+                            .RetryAfter = Board.Jitter.jitter(LongRetryAfter),
                             .Payload = "an earlier attempt is in progress"});
   if (outcome->Result == CommandResult::AlreadyUnknown)
     return finish(request, unknown("an earlier attempt may have run"));
@@ -222,7 +222,7 @@
                                  .BaseModel = request.BaseModel,
                                  .Source = request.Source,
                                  .Prompt = caller.Prompt,
-                                 .Resumed = request.Delivered,
+                                 .ResumeText = request.Delivered,
                                  .MaxTokens = caller.MaxTokens -
                                               std::min(done, caller.MaxTokens),
                                  .Service = caller.Service,
@@ -236,7 +236,7 @@
                      .Reason = RefusalReason::NoBackend,
                      .Payload = "no backend server can take it"};
   constexpr Duration LongRetryAfter = std::chrono::seconds(1);
-  answer.ComeBack = Board.Jitter.jitter(LongRetryAfter);
+  answer.RetryAfter = Board.Jitter.jitter(LongRetryAfter);
   if (!request.Tried.empty())
     answer.Reason = request.Tried.back().Reason;
   if (request.MayHaveRun)
@@ -257,7 +257,7 @@
   return request.Retries++ < Board.Options.MaxRetries && Board.Budget.take();
 }
 
-void EntryController::noteLoad(const HostName &host, const LoadFigures &load) {
+void EntryController::recordLoad(const HostName &host, const AgentLoad &load) {
   const auto it = Board.Members.find(host);
   if (it != Board.Members.end() && load.BatchCapacity > 0)
     it->second.Load = load;
@@ -287,7 +287,7 @@
   if (!request)
     return;
   request->Attempt->Admitted = true;
-  noteLoad(host, message.Load);
+  recordLoad(host, message.Load);
   const auto member = Board.Members.find(host);
   if (member != Board.Members.end())
     member->second.Failures = 0;
@@ -302,14 +302,14 @@
     return;
   const bool probe = request->Attempt->OnlyIfResident;
   dropAttempt(*request);
-  noteLoad(host, message.Load);
+  recordLoad(host, message.Load);
   if (message.Reason == RefusalReason::NotResident)
     Routing.learn(request->Key, host, false);
   const auto member = Board.Members.find(host);
   if (message.Reason == RefusalReason::Leaving && member != Board.Members.end())
     member->second.Record.Leaving = true;
   if (message.Reason == RefusalReason::BackendDown)
-    suspend(now, host);
+    eject(now, host);
   request->Tried.push_back({host, message.Reason, message.Load, probe});
   // The scheduler orders the loads of all hosts, so another host would give the
   // same answer.
@@ -320,7 +320,7 @@
   finish(*request,
          {.Kind = request->MayHaveRun ? FinalKind::Failed : FinalKind::Refused,
           .Reason = message.Reason,
-          .ComeBack = message.ComeBack,
+          .RetryAfter = message.RetryAfter,
           .Payload = "refused by the backend server's host"});
 }
 
@@ -344,7 +344,7 @@
   EntryRequest *request = find(message.Attempt, host);
   if (!request)
     return;
-  noteLoad(host, message.Load);
+  recordLoad(host, message.Load);
   const bool complete = message.Ending == AttemptEnding::Answered &&
                         message.Tokens == request->Attempt->Tokens;
   if (!complete)
@@ -381,7 +381,7 @@
   constexpr Duration LongRetryAfter = std::chrono::seconds(1);
   finish(request, {.Kind = FinalKind::Failed,
                    .Reason = RefusalReason::BackendDown,
-                   .ComeBack = Board.Jitter.jitter(LongRetryAfter),
+                   .RetryAfter = Board.Jitter.jitter(LongRetryAfter),
                    .Payload = why});
 }
 
@@ -389,15 +389,15 @@
 // Hosts
 //===----------------------------------------------------------------------===//
 
-void EntryController::suspend(TimePoint now, const HostName &host) {
+void EntryController::eject(TimePoint now, const HostName &host) {
   const auto it = Board.Members.find(host);
   if (it == Board.Members.end())
     return;
   constexpr std::uint32_t MaxDoublings = 4;
   const std::uint32_t doublings = std::min(it->second.Failures, MaxDoublings);
   ++it->second.Failures;
-  it->second.SuspendedUntil =
-      now + Board.Jitter.jitter(Board.Options.SuspendTime * (1 << doublings));
+  it->second.EjectedUntil =
+      now + Board.Jitter.jitter(Board.Options.EjectionTime * (1 << doublings));
 }
 
 void EntryController::onAgentLeaving(const AgentLeaving &message) {
@@ -409,7 +409,7 @@
 
 void EntryController::onLinkLost(TimePoint now, const HostName &host,
                                  bool wasOpen) {
-  suspend(now, host);
+  eject(now, host);
   hostFailed(now, host, wasOpen);
 }
 
@@ -469,7 +469,7 @@
          Board.Configuration.isEvacuated(member.Zone);
 }
 
-void EntryController::onDrains() {
+void EntryController::onDrainsChanged() {
   for (auto &[host, member] : Board.Members)
     member.Drained = isDrainedOrEvacuated(member.Record);
 }
@@ -501,7 +501,7 @@
                           .Ending = ending,
                           .Answer = answered ? answer.Payload : std::string(),
                       }},
-      .GiveUpAt = request.Deadline + EndingProposalTimeout});
+      .ProposeUntil = request.Deadline + EndingProposalTimeout});
 }
 
 void EntryController::finish(EntryRequest &request, FinalAnswer answer) {
@@ -523,7 +523,7 @@
   FinalAnswer answer{.Kind = FinalKind::TimedOut,
                      .Payload = "no answer within the time given"};
   constexpr Duration LongRetryAfter = std::chrono::seconds(1);
-  answer.ComeBack = Board.Jitter.jitter(LongRetryAfter);
+  answer.RetryAfter = Board.Jitter.jitter(LongRetryAfter);
   if (!request.Caller.Idempotent && (sent || request.MayHaveRun))
     answer = unknown("no answer within the time given");
   else if (!sent && !request.MayHaveRun)
@@ -535,7 +535,7 @@
   finish(request, std::move(answer));
 }
 
-void EntryController::onCallerGone(TimePoint, RequestKey key) {
+void EntryController::onCallerDisconnected(TimePoint, RequestKey key) {
   const auto it = Board.Requests.find(key);
   if (it == Board.Requests.end())
     return;
@@ -563,7 +563,7 @@
       expire(now, request);
       continue;
     }
-    suspend(now, request.Attempt->Host);
+    eject(now, request.Attempt->Host);
     attemptLost(now, request, "the backend server's host didn't answer");
   }
 }
--- a/packages/serving/pimentofront/src/Serving/EntryController.h
+++ b/packages/serving/pimentofront/src/Serving/EntryController.h
@@ -20,7 +20,7 @@
                   RoutingPolicy &routing);
 
   void onRequest(TimePoint now, CallerRequest request);
-  void onCallerGone(TimePoint now, RequestKey key);
+  void onCallerDisconnected(TimePoint now, RequestKey key);
 
   void onAdmitted(TimePoint now, const HostName &host,
                   const AttemptAdmitted &message);
@@ -40,7 +40,7 @@
 
   /// Updates the members; attempts on hosts that are gone are lost.
   void onMembers(TimePoint now, const MemberUpdate &update);
-  void onDrains();
+  void onDrainsChanged();
 
   /// Refuses every new request from now on; those in progress continue.
   void stop() { Board.Stopping = true; }
@@ -56,7 +56,7 @@
   bool isDrainedOrEvacuated(const MemberRecord &member) const;
   RefusalReason resolve(EntryRequest &request, std::string &detail) const;
   void refuseNew(const CallerRequest &request, RefusalReason reason,
-                 Duration comeBack, std::string detail);
+                 Duration retryAfter, std::string detail);
   void claim(TimePoint now, EntryRequest &request);
   void nextAttempt(TimePoint now, EntryRequest &request);
   void send(TimePoint now, EntryRequest &request, const Route &route);
@@ -66,13 +66,13 @@
   EntryRequest *find(const AttemptId &attempt, const HostName &host);
   /// \returns whether a retry after a failure is allowed, and counts it.
   bool takeRetry(EntryRequest &request);
-  void noteLoad(const HostName &host, const LoadFigures &load);
+  void recordLoad(const HostName &host, const AgentLoad &load);
   void dropAttempt(EntryRequest &request);
   void cancelAttempt(EntryRequest &request);
   /// The current attempt ended early and may have begun.
   void attemptLost(TimePoint now, EntryRequest &request,
                    const std::string &why);
-  void suspend(TimePoint now, const HostName &host);
+  void eject(TimePoint now, const HostName &host);
   void hostFailed(TimePoint now, const HostName &host, bool mayHaveRun);
   void finish(EntryRequest &request, FinalAnswer answer);
   void endClaim(const EntryRequest &request, const FinalAnswer &answer);
--- a/packages/serving/pimentofront/src/Serving/SharedLoads.cpp
+++ b/packages/serving/pimentofront/src/Serving/HybridLoads.cpp
@@ -4,12 +4,12 @@
 
 namespace pimentofront {
 
-SharedLoads::SharedLoads(const SharedLoadsOptions &options)
+HybridLoads::HybridLoads(const HybridLoadsOptions &options)
     : Options(options), Adaptive(options.Adaptive),
       Scheduled(Adaptive, options.SchedulerTimeout) {}
 
 std::optional<AdapterKey>
-SharedLoads::nextCopy(const std::vector<Demand> &copies) {
+HybridLoads::nextCopy(const std::vector<Demand> &copies) {
   if (CopyLoads.size() >= Options.MaxCopyLoads)
     return std::nullopt;
   const Demand *it = highestUtilityDemand(copies);
@@ -20,7 +20,7 @@
 }
 
 std::optional<AdapterKey>
-SharedLoads::next(TimePoint now, AgentBoard &board,
+HybridLoads::next(TimePoint now, AgentBoard &board,
                   const std::vector<Demand> &demands) {
   std::vector<Demand> copies;
   std::vector<Demand> others;
@@ -46,22 +46,22 @@
   return ticket;
 }
 
-void SharedLoads::onEngineReady(TimePoint now) {
+void HybridLoads::onEngineReady(TimePoint now) {
   CongestedUntil = now + Options.CongestedAfterStart;
   MaxCongestedUntil = now + Options.MaxCongested;
 }
 
-void SharedLoads::onTicket(TimePoint now, AgentBoard &board,
+void HybridLoads::onTicket(TimePoint now, AgentBoard &board,
                            const LoadTicket &ticket) {
   Scheduled.onTicket(now, board, ticket);
 }
 
-void SharedLoads::onStatus(TimePoint now, AgentBoard &board,
+void HybridLoads::onStatus(TimePoint now, AgentBoard &board,
                            const LoadQueueStatus &status) {
   Scheduled.onStatus(now, board, status);
 }
 
-void SharedLoads::onLoadEnded(TimePoint now, AgentBoard &board,
+void HybridLoads::onLoadEnded(TimePoint now, AgentBoard &board,
                               const AdapterKey &key, Duration took) {
   if (CopyLoads.erase(key) > 0)
     return;
--- a/packages/serving/pimentofront/src/Serving/SharedLoads.h
+++ b/packages/serving/pimentofront/src/Serving/HybridLoads.h
@@ -1,13 +1,13 @@
-#ifndef PIMENTOFRONT_SERVING_SHARED_LOADS_H
-#define PIMENTOFRONT_SERVING_SHARED_LOADS_H
+#ifndef PIMENTOFRONT_SERVING_HYBRID_LOADS_H
+#define PIMENTOFRONT_SERVING_HYBRID_LOADS_H
 
 #include "AdaptiveLoads.h"
 
 namespace pimentofront {
 
-/// \class SharedLoadsOptions
+/// \class HybridLoadsOptions
 /// \ingroup Serving
-struct SharedLoadsOptions {
+struct HybridLoadsOptions {
   AdaptiveLoadsOptions Adaptive;
   /// How long the store counts as congested after an engine has started. After
   /// a loss of power, loading what all engines lack takes about four seconds.
@@ -28,7 +28,7 @@
   std::size_t MaxCopyLoads = 4;
 };
 
-/// \class SharedLoads
+/// \class HybridLoads
 /// \ingroup Serving
 /// \brief Loads by the scheduler's tickets while the adapters of an engine that
 /// has just started are loaded, and without tickets afterwards.
@@ -46,9 +46,9 @@
 /// until their callers gave up. While the scheduler is unavailable, each agent
 /// limits its loads by its own measurements. Loads of copies that the engine
 /// has are neither requested from the scheduler nor counted.
-class SharedLoads : public LoadGate {
+class HybridLoads : public LoadGate {
 public:
-  explicit SharedLoads(const SharedLoadsOptions &options);
+  explicit HybridLoads(const HybridLoadsOptions &options);
 
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) override;
@@ -66,7 +66,7 @@
   /// be loaded now.
   std::optional<AdapterKey> nextCopy(const std::vector<Demand> &copies);
 
-  SharedLoadsOptions Options;
+  HybridLoadsOptions Options;
   AdaptiveLoads Adaptive;
   ScheduledLoads Scheduled;
   TimePoint CongestedUntil;
--- a/packages/serving/pimentofront/src/Serving/LoadController.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadController.cpp
@@ -25,17 +25,17 @@
 void LoadController::addToDemand(TimePoint now, const WaitingAttempt &attempt,
                                  Demand &demand) const {
   const std::uint32_t weight = std::max(attempt.Request.Weight, 1U);
-  const Duration reading =
-      Board.Prefill.reading(attempt.Request.Key, attempt.Request.Parts);
+  const Duration prefillTime =
+      Board.Prefill.prefillTime(attempt.Request.Key, attempt.Request.Parts);
   const TimePoint firstEvent =
-      now + Board.LoadTimes.expected(attempt.Request.Key) + reading;
+      now + Board.LoadTimes.expected(attempt.Request.Key) + prefillTime;
   const bool hasTarget = attempt.OnTimeUntil.has_value();
   const bool onTime = !hasTarget || firstEvent <= *attempt.OnTimeUntil;
   const TimePoint limit = hasTarget && onTime
                               ? *attempt.OnTimeUntil
                               : stallLimit(attempt, Board.Options.StallShare);
   demand.Weight += weight;
-  demand.Utility += onTime ? weight : Board.Options.LateWorth * weight;
+  demand.Utility += onTime ? weight : Board.Options.LateUtility * weight;
   demand.Slack = std::min(demand.Slack, limit - now);
 }
 
@@ -79,12 +79,12 @@
   Board.Slots.beginLoad(key, victim);
   const std::string source = Board.Waiting.at(key).front().Request.Source;
   Board.Commands.push_back(StartLoad{key, source, victim});
-  ++Board.LoadsUnderWay;
+  ++Board.LoadsInFlight;
 }
 
 void LoadController::onLoadEnded(TimePoint now, const AdapterKey &key,
                                  bool succeeded, Duration took) {
-  --Board.LoadsUnderWay;
+  --Board.LoadsInFlight;
   if (!Board.Slots.isLoading(key)) {
     // The engine exited during the load, which says nothing about the adapter.
     // The order may have reached the new engine process, so the adapters that
@@ -97,7 +97,7 @@
   if (!succeeded)
     return onLoadFailed(now, key);
   Board.LoadTimes.onLoaded(key, took);
-  Board.SetAside.erase(key);
+  Board.LoadBackoffs.erase(key);
   recordLoadStalls(now, key);
 }
 
@@ -111,11 +111,11 @@
 }
 
 void LoadController::onLoadFailed(TimePoint now, const AdapterKey &key) {
-  FailedLoads &failed = Board.SetAside[key];
-  Duration pause = Board.Options.FailedLoadPause;
-  for (std::uint32_t i = 0; i < failed.InSequence; ++i)
-    pause = std::min(2 * pause, Board.Options.FailedLoadPauseMax);
-  ++failed.InSequence;
+  LoadBackoff &failed = Board.LoadBackoffs[key];
+  Duration pause = Board.Options.InitialLoadBackoff;
+  for (std::uint32_t i = 0; i < failed.ConsecutiveFailures; ++i)
+    pause = std::min(2 * pause, Board.Options.MaxLoadBackoff);
+  ++failed.ConsecutiveFailures;
   failed.Until = now + Board.Jitter.jitter(pause);
   Admission.refuseWaiting(key, RefusalReason::LoadFailed, failed.Until - now);
 }
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
@@ -22,7 +22,8 @@
 
 LoadScheduler::Rank LoadScheduler::rankOf(TimePoint now,
                                           const Waiting &waiting) const {
-  return {.Infeasible = !Options.Measured && waiting.Deadline < now + LoadTime,
+  return {.Infeasible =
+              !Options.MeasuresCapacity && waiting.Deadline < now + LoadTime,
           .NegativeScore = -static_cast<double>(waiting.Weight),
           .Since = waiting.Since};
 }
@@ -43,8 +44,9 @@
   waiting.Weight = demand.WaitingWeight;
   waiting.Deadline = now + demand.Slack;
   waiting.LastReceivedAt = now;
-  // With `Measured` the scheduler only decides the order and reports no wait.
-  if (Options.Measured)
+  // With `MeasuresCapacity` the scheduler only decides the order and reports no
+  // wait.
+  if (Options.MeasuresCapacity)
     return {.Key = demand.Key};
   const Rank rank = rankOf(now, waiting);
   std::size_t ahead = Issued.size();
@@ -68,7 +70,7 @@
 
 void LoadScheduler::recordArrival(TimePoint now, std::uint32_t weight) {
   Arrivals &arrivals = ArrivalsByWeight[std::min(weight, MaxCountedWeight)];
-  const double decay = remainingShare(now - arrivals.At, ArrivalHalfLife);
+  const double decay = decayFactor(now - arrivals.At, ArrivalHalfLife);
   arrivals.Count = arrivals.Count * decay + 1;
   arrivals.At = now;
 }
@@ -79,7 +81,7 @@
   for (auto it = ArrivalsByWeight.upper_bound(weight);
        it != ArrivalsByWeight.end(); ++it)
     perSecond += it->second.Count *
-                 remainingShare(now - it->second.At, ArrivalHalfLife) *
+                 decayFactor(now - it->second.At, ArrivalHalfLife) *
                  std::numbers::ln2 / toSeconds(ArrivalHalfLife);
   return perSecond * toSeconds(timePerLoad());
 }
@@ -90,7 +92,7 @@
     return;
   const Outstanding load = it->second;
   Issued.erase(it);
-  if (Options.Measured)
+  if (Options.MeasuresCapacity)
     return updateWindow(now, load, done.Took);
   constexpr int SmoothingDivisor = 8;
   if (done.Started)
@@ -100,7 +102,7 @@
 }
 
 std::size_t LoadScheduler::limit() const {
-  if (!Options.Measured)
+  if (!Options.MeasuresCapacity)
     return Options.Concurrent;
   if (!SlowStart)
     return static_cast<std::size_t>(Window);
@@ -138,7 +140,7 @@
   Window += SlowStart ? Options.SlowStartGrowth : GrowthEachRound / Window;
 }
 
-void LoadScheduler::forgetHost(const HostName &host) {
+void LoadScheduler::removeHost(const HostName &host) {
   std::erase_if(Demands, [&](const auto &it) { return it.first.Host == host; });
   std::erase_if(Issued, [&](const auto &it) { return it.second.Host == host; });
 }
@@ -166,7 +168,7 @@
     Issued.emplace(number, Outstanding{best->first.Host, now});
     result.push_back({best->first.Host, {number, best->first.Key}});
     Demands.erase(best);
-    if (!Options.Measured)
+    if (!Options.MeasuresCapacity)
       NextAllowed = now + fromSeconds(1 / Options.LoadsPerSecond);
   }
   return result;
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.h
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.h
@@ -1,7 +1,7 @@
 #ifndef PIMENTOFRONT_SERVING_LOAD_SCHEDULER_H
 #define PIMENTOFRONT_SERVING_LOAD_SCHEDULER_H
 
-#include "StoreSpeed.h"
+#include "StoreSlowdown.h"
 #include "pimentofront/Wire.h"
 
 #include <map>
@@ -14,13 +14,13 @@
 /// \class LoadSchedulerOptions
 /// \ingroup Serving
 struct LoadSchedulerOptions {
-  /// Rate that the weight store allows; not used with `Measured`.
+  /// Rate that the weight store allows; not used with `MeasuresCapacity`.
   double LoadsPerSecond = 4;
   /// Maximum number of concurrent loads; the weight store is at full speed with
-  /// one. With `Measured`, the minimum of the limit during slow start.
+  /// one. With `MeasuresCapacity`, the minimum of the limit during slow start.
   std::uint32_t Concurrent = 1;
   /// The capacity of the store is unknown and learned from how long loads take.
-  bool Measured = false;
+  bool MeasuresCapacity = false;
   /// During slow start, at least this part of the hosts with demands or tickets
   /// may load concurrently.
   double SlowStartHostShare = 0.25;
@@ -55,11 +55,11 @@
 /// \class LoadScheduler
 /// \ingroup Serving
 /// \brief Orders the adapter loads of all hosts, limited by the rate of the
-/// weight store, or with `Measured` by the number of concurrent loads that the
-/// store serves at full speed. That number is learned like a congestion window
-/// (slow start and additive increase, Jacobson, 1988; the decrease follows the
-/// slowdown itself). Soft state: a new scheduler learns the demands within a
-/// second, since agents send them again.
+/// weight store, or with `MeasuresCapacity` by the number of concurrent loads
+/// that the store serves at full speed. That number is learned like a
+/// congestion window (slow start and additive increase, Jacobson, 1988; the
+/// decrease follows the slowdown itself). Soft state: a new scheduler learns
+/// the demands within a second, since agents send them again.
 ///
 /// All loads cost about the same, so that loading for the largest waiting
 /// weight first minimizes the weighted waiting time (Smith's rule, 1956).
@@ -73,7 +73,7 @@
   LoadQueueStatus onDemand(TimePoint now, const LoadDemand &demand);
   void onDone(TimePoint now, const LoadDone &done);
   /// A host has left or lost its lease.
-  void forgetHost(const HostName &host);
+  void removeHost(const HostName &host);
   /// \returns the tickets that may be issued now.
   std::vector<IssuedTicket> run(TimePoint now);
   std::size_t waiting() const { return Demands.size(); }
@@ -122,7 +122,7 @@
   /// Receives some hundred loads a second from all hosts together, so its
   /// estimate ages less with each load than an agent's, and about as much over
   /// time.
-  StoreSpeed Speed{{.Aging = 0.00002}};
+  StoreSlowdown Speed{{.Aging = 0.00002}};
   /// The learned limit of concurrent loads.
   double Window = 0;
   /// When the limit was last reduced. Slow loads that were issued before do not
--- a/packages/serving/pimentofront/src/Serving/Popularity.cpp
+++ b/packages/serving/pimentofront/src/Serving/Popularity.cpp
@@ -25,7 +25,7 @@
 }
 
 double PopularityTable::decayed(TimePoint now, const Count &count) const {
-  return count.Value * remainingShare(now - count.At, Options.HalfLife);
+  return count.Value * decayFactor(now - count.At, Options.HalfLife);
 }
 
 double PopularityTable::sessionShare() const {
@@ -34,7 +34,7 @@
 
 double PopularityTable::expectedRequests(TimePoint now,
                                          const Count &count) const {
-  const double decay = remainingShare(now - count.At, Options.SessionHalfLife);
+  const double decay = decayFactor(now - count.At, Options.SessionHalfLife);
   // The session share is spread over the session's half-life, the count over
   // the long one: their ratio converts the share to requests in a long
   // half-life.
@@ -59,7 +59,7 @@
   ExpectedFollowedShare += LearningRate * (expected - ExpectedFollowedShare);
 }
 
-void PopularityTable::noteRequest(TimePoint now, const AdapterKey &key) {
+void PopularityTable::recordRequest(TimePoint now, const AdapterKey &key) {
   if (Counts.size() >= Options.Capacity && !Counts.contains(key))
     removeLessPopularHalf(now);
   Count &count = Counts[key];
--- a/packages/serving/pimentofront/src/Serving/Popularity.h
+++ b/packages/serving/pimentofront/src/Serving/Popularity.h
@@ -36,7 +36,7 @@
 public:
   explicit PopularityTable(const PopularityOptions &options);
 
-  void noteRequest(TimePoint now, const AdapterKey &key);
+  void recordRequest(TimePoint now, const AdapterKey &key);
   /// \returns the expected number of requests, 0 for an unknown adapter.
   double valueOf(TimePoint now, const AdapterKey &key) const;
   std::size_t size() const { return Counts.size(); }
--- a/packages/serving/pimentofront/src/Serving/PrefillModel.h
+++ b/packages/serving/pimentofront/src/Serving/PrefillModel.h
@@ -41,8 +41,8 @@
   std::uint32_t uncachedTokens(const AdapterKey &key,
                                const std::vector<PromptPart> &parts) const;
   /// \returns the prefill time of \p parts for \p key.
-  Duration reading(const AdapterKey &key,
-                   const std::vector<PromptPart> &parts) const {
+  Duration prefillTime(const AdapterKey &key,
+                       const std::vector<PromptPart> &parts) const {
     return fromSeconds(uncachedTokens(key, parts) / Rate);
   }
   /// \returns the time until the engine has prefilled all prompts sent to it.
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
@@ -17,7 +17,7 @@
 /// \returns whether the host refused only because the first event would come
 /// too late or because the adapter isn't resident; such a host may be asked
 /// again without these conditions.
-bool isConditionalRefusal(const TriedHost &refusal) {
+bool wasConditional(const TriedHost &refusal) {
   return refusal.Reason == RefusalReason::Busy ||
          (refusal.Reason == RefusalReason::NotResident &&
           refusal.OnlyIfResident);
@@ -26,7 +26,7 @@
 /// \returns whether the host refused for any other reason.
 bool refusedOutright(const RouteQuery &query, const MemberView &host) {
   return std::ranges::any_of(query.Tried, [&](const TriedHost &it) {
-    return it.Host == host.Record.Host && !isConditionalRefusal(it);
+    return it.Host == host.Record.Host && !wasConditional(it);
   });
 }
 
@@ -45,10 +45,10 @@
 } // namespace
 
 double PrefixRouting::decayed(TimePoint now, const Count &count) const {
-  return count.Value * remainingShare(now - count.At, Options.HalfLife);
+  return count.Value * decayFactor(now - count.At, Options.HalfLife);
 }
 
-void PrefixRouting::noteRequest(TimePoint now, const AdapterKey &key) {
+void PrefixRouting::recordRequest(TimePoint now, const AdapterKey &key) {
   if (Counts.size() >= Options.Capacity && !Counts.contains(key))
     evictCounts(now);
   Count &count = Counts[key];
@@ -75,8 +75,8 @@
     return 1;
   const double share =
       decayed(now, it->second) / (decayed(now, Total) + Options.PriorRequests);
-  const auto n = static_cast<std::size_t>(
-      std::ceil(share * Options.Spread * static_cast<double>(engines)));
+  const auto n = static_cast<std::size_t>(std::ceil(
+      share * Options.EnginesPerShare * static_cast<double>(engines)));
   return std::clamp<std::size_t>(n, 1, engines);
 }
 
@@ -84,7 +84,7 @@
                                            const RouteQuery &query,
                                            const MemberViews &members) {
   if (query.Tried.empty())
-    noteRequest(now, query.Key);
+    recordRequest(now, query.Key);
   Hosts hosts = detail::eligibleHosts(now, query, members);
   if (hosts.empty())
     return std::nullopt;
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.h
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.h
@@ -23,7 +23,7 @@
   std::uint32_t SpillChoices = 3;
   /// Number of engines for an adapter whose share of the requests amounts to
   /// one engine. More engines shorten its queue, fewer save loads.
-  double Spread = 1;
+  double EnginesPerShare = 1;
   /// Penalty for an engine that would load a further copy of the adapter when
   /// the first event will be late on every engine, as a share of the time until
   /// it is due. While the weight store is congested, each further copy makes
@@ -63,7 +63,7 @@
     TimePoint At;
   };
   double decayed(TimePoint now, const Count &count) const;
-  void noteRequest(TimePoint now, const AdapterKey &key);
+  void recordRequest(TimePoint now, const AdapterKey &key);
   /// \returns how many of \p engines the requests for the adapter need.
   std::size_t enginesFor(TimePoint now, const AdapterKey &key,
                          std::size_t engines) const;
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
@@ -11,7 +11,7 @@
 bool RequestPacer::apply(TimePoint now, const RateLimit &limit) {
   // Tokens saved up so far accrued at the former rate.
   refill(now);
-  const bool wasPaced = paces(now);
+  const bool wasPaced = isPacing(now);
   const bool changed = Known.apply(now, limit);
   if (!wasPaced)
     Level = 0;
@@ -23,7 +23,7 @@
   if (!cold.isCold() || until <= ColdUntil)
     return false;
   refill(now);
-  if (!paces(now))
+  if (!isPacing(now))
     Level = 0;
   ColdPerSecond = cold.perSecond();
   ColdUntil = until;
@@ -41,7 +41,7 @@
 }
 
 Duration RequestPacer::interval(TimePoint now) const {
-  if (!paces(now))
+  if (!isPacing(now))
     return Duration::zero();
   return fromSeconds(1 / (isCold(now) ? coldRate() : limitRate()));
 }
@@ -61,7 +61,7 @@
 }
 
 Duration RequestPacer::wait(TimePoint now, std::size_t ahead) const {
-  if (!paces(now))
+  if (!isPacing(now))
     return Duration::zero();
   const double missing =
       static_cast<double>(ahead) + 1 - levelAt(std::max(now, RefilledAt));
@@ -79,7 +79,7 @@
 }
 
 std::optional<Duration> RequestPacer::reserve(TimePoint now, Duration ahead) {
-  if (!paces(now))
+  if (!isPacing(now))
     return Duration::zero();
   const Duration delay = wait(now, 0);
   if (delay > ahead)
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.h
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.h
@@ -39,7 +39,7 @@
   bool isLimited() const { return Known.isNamed(); }
   bool isCold(TimePoint now) const { return now < ColdUntil; }
   /// \returns whether requests are paced now.
-  bool paces(TimePoint now) const { return isLimited() || isCold(now); }
+  bool isPacing(TimePoint now) const { return isLimited() || isCold(now); }
   /// \returns the time between two requests at the current rate; zero if
   /// requests are not paced now.
   Duration interval(TimePoint now) const;
--- a/packages/serving/pimentofront/src/Serving/RetryBudget.h
+++ b/packages/serving/pimentofront/src/Serving/RetryBudget.h
@@ -19,12 +19,12 @@
   explicit RetryBudget(double share = 0.2, double reserve = 10)
       : Share(share), Reserve(reserve), Tokens(reserve) {}
 
-  void noteRequest() { Tokens = std::min(Tokens + Share, Reserve); }
+  void recordRequest() { Tokens = std::min(Tokens + Share, Reserve); }
   /// \returns whether a retry is allowed.
-  bool hasRoom() const { return Tokens >= 1; }
+  bool canRetry() const { return Tokens >= 1; }
   /// \returns whether a retry is allowed, and takes it from the budget.
   bool take() {
-    if (!hasRoom())
+    if (!canRetry())
       return false;
     Tokens -= 1;
     return true;
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
@@ -44,10 +44,10 @@
   for (const auto &[host, member] : members) {
     const MemberRecord &record = member.Record;
     if (record.Leaving || record.Gone || member.Drained ||
-        member.RestUntil > now || !serves(member, query) ||
+        member.BackoffUntil > now || !serves(member, query) ||
         !query.Zones.contains(record.Zone))
       continue;
-    (member.SuspendedUntil > now ? suspended : healthy).push_back(&member);
+    (member.EjectedUntil > now ? suspended : healthy).push_back(&member);
   }
   return healthy.empty() ? suspended : healthy;
 }
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
@@ -18,14 +18,14 @@
   /// Hash of the host's name, for the rendezvous order.
   std::uint64_t NameHash = 0;
   /// Load that the agent last reported; it may be out of date.
-  LoadFigures Load;
+  AgentLoad Load;
   /// Set after failures: until then the host is chosen only if there is no
   /// other.
-  TimePoint SuspendedUntil;
+  TimePoint EjectedUntil;
   std::uint32_t Failures = 0;
   /// Until then the server has asked this entry for no requests: nothing is
   /// sent there, even if there is no other host.
-  TimePoint RestUntil;
+  TimePoint BackoffUntil;
   /// An operator has drained the host or evacuated its zone.
   bool Drained = false;
   /// The replicas' current leader hasn't listed the host since it took over.
@@ -39,7 +39,7 @@
 struct TriedHost {
   HostName Host;
   RefusalReason Reason = RefusalReason::None;
-  LoadFigures Load;
+  AgentLoad Load;
   /// The attempt required the adapter to be resident.
   bool OnlyIfResident = false;
   /// Wait of this request there, as the host estimates it.
--- a/packages/serving/pimentofront/src/Serving/SendPermitLedger.cpp
+++ b/packages/serving/pimentofront/src/Serving/SendPermitLedger.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void SendPermitLedger::lead(std::uint64_t term) {
+void SendPermitLedger::startLeading(std::uint64_t term) {
   if (term == Term)
     return;
   Term = term;
@@ -45,7 +45,7 @@
   server.Pacer.apply(now, query.Limit);
   server.Pacer.applyCold(now, query.Cold);
   SendPermitReply reply{.Nonce = query.Nonce};
-  if (server.Pacer.paces(now)) {
+  if (server.Pacer.isPacing(now)) {
     const Duration interval = server.Pacer.interval(now);
     reply.Lifetime = std::clamp(interval, MinLifetime, MaxLifetime);
     // Entries whose retry-after has passed have asked again or never will.
@@ -58,7 +58,7 @@
   reply.Granted = delay.has_value();
   reply.Delay = delay.value_or(Duration::zero());
   if (!reply.Granted)
-    reply.ComeBack = retryAfter(now, server);
+    reply.RetryAfter = retryAfter(now, server);
   return reply;
 }
 
--- a/packages/serving/pimentofront/src/Serving/SendPermitLedger.h
+++ b/packages/serving/pimentofront/src/Serving/SendPermitLedger.h
@@ -23,7 +23,7 @@
 class SendPermitLedger {
 public:
   /// This replica leads in \p term. State of another term is discarded.
-  void lead(std::uint64_t term);
+  void startLeading(std::uint64_t term);
   SendPermitReply onQuery(TimePoint now, const SendPermitQuery &query);
 
 private:
--- a/packages/serving/pimentofront/src/Serving/StoreSpeed.cpp
+++ b/packages/serving/pimentofront/src/Serving/StoreSlowdown.cpp
@@ -2,7 +2,7 @@
 
 namespace pimentofront {
 
-std::optional<double> StoreSpeed::record(Duration took) {
+std::optional<double> StoreSlowdown::record(Duration took) {
   if (took <= Duration::zero())
     return std::nullopt;
   const double seconds = toSeconds(took);
--- a/packages/serving/pimentofront/src/Serving/StoreSpeed.h
+++ b/packages/serving/pimentofront/src/Serving/StoreSlowdown.h
@@ -1,5 +1,5 @@
-#ifndef PIMENTOFRONT_SERVING_STORE_SPEED_H
-#define PIMENTOFRONT_SERVING_STORE_SPEED_H
+#ifndef PIMENTOFRONT_SERVING_STORE_SLOWDOWN_H
+#define PIMENTOFRONT_SERVING_STORE_SLOWDOWN_H
 
 #include "pimentofront/Base.h"
 
@@ -7,9 +7,9 @@
 
 namespace pimentofront {
 
-/// \class StoreSpeedOptions
+/// \class StoreSlowdownOptions
 /// \ingroup Serving
-struct StoreSpeedOptions {
+struct StoreSlowdownOptions {
   /// A load that takes less than this part of the fastest one came from a copy
   /// that the engine had, and says nothing about the weight store.
   double CopyShare = 0.5;
@@ -18,14 +18,14 @@
   double Aging = 0.002;
 };
 
-/// \class StoreSpeed
+/// \class StoreSlowdown
 /// \ingroup Serving
 /// \brief Estimates how congested the weight store is by comparing load times
 /// with the fastest one: the store divides its bandwidth among all loads in
 /// progress.
-class StoreSpeed {
+class StoreSlowdown {
 public:
-  explicit StoreSpeed(const StoreSpeedOptions &options = {})
+  explicit StoreSlowdown(const StoreSlowdownOptions &options = {})
       : Options(options) {}
 
   /// Records a load that took \p took.
@@ -35,7 +35,7 @@
   std::optional<double> record(Duration took);
 
 private:
-  StoreSpeedOptions Options;
+  StoreSlowdownOptions Options;
   /// Fastest load from the store; zero before the first.
   Duration Fastest = Duration::zero();
 };
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.cpp
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.cpp
@@ -2,8 +2,8 @@
 
 namespace pimentofront {
 
-void UnansweredOrders::note(TimePoint now, const HostName &server,
-                            std::uint64_t count) {
+void UnansweredOrders::recordUnanswered(TimePoint now, const HostName &server,
+                                        std::uint64_t count) {
   std::erase_if(SentAt, [&](const auto &it) {
     return now >= it.second + Options.Lifetime;
   });
@@ -16,9 +16,9 @@
   return it != SentAt.end() && now < it->second + Options.Lifetime;
 }
 
-bool UnansweredOrders::mayReach(TimePoint now, const HostName &server,
-                                std::uint64_t count, std::size_t held,
-                                std::size_t slots) const {
+bool UnansweredOrders::isSafeToReach(TimePoint now, const HostName &server,
+                                     std::uint64_t count, std::size_t held,
+                                     std::size_t slots) const {
   std::uint64_t between = 0;
   auto it = SentAt.lower_bound({server, count});
   for (; it != SentAt.end() && it->first.Server == server; ++it) {
--- a/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
+++ b/packages/serving/pimentofront/src/Serving/UnansweredOrders.h
@@ -28,11 +28,11 @@
 /// restart matches again when the engine reaches that count. An engine that has
 /// to hold more adapters than it has slots exits, and all its requests fail.
 ///
-/// The invariant that mayReach() preserves, for each such order at count N and
-/// the run of r such orders at N, N + 1, ...: when the engine reaches N it has
-/// r slots free. Far from N no load is prevented, since each order in between
-/// may evict an adapter; near N, loads are. Use it where one process sends all
-/// orders; it is not a record of what the engine holds.
+/// The invariant that isSafeToReach() preserves, for each such order at count N
+/// and the run of r such orders at N, N + 1, ...: when the engine reaches N it
+/// has r slots free. Far from N no load is prevented, since each order in
+/// between may evict an adapter; near N, loads are. Use it where one process
+/// sends all orders; it is not a record of what the engine holds.
 class UnansweredOrders {
 public:
   explicit UnansweredOrders(const UnansweredOrdersOptions &options = {})
@@ -40,13 +40,14 @@
 
   /// An order to load, sent to \p server when it had accepted \p count orders,
   /// was not answered.
-  void note(TimePoint now, const HostName &server, std::uint64_t count);
+  void recordUnanswered(TimePoint now, const HostName &server,
+                        std::uint64_t count);
   /// \returns whether it is safe that \p server has accepted \p count orders
   /// and holds \p held adapters: then no unanswered order can exceed its
   /// \p slots, provided that this function is called before each later order,
   /// too.
-  bool mayReach(TimePoint now, const HostName &server, std::uint64_t count,
-                std::size_t held, std::size_t slots) const;
+  bool isSafeToReach(TimePoint now, const HostName &server, std::uint64_t count,
+                     std::size_t held, std::size_t slots) const;
 
 private:
   /// The server and count at which an order can be carried out.
--- a/packages/state/pimentofront/src/State/ConfigurationCopy.cpp
+++ b/packages/state/pimentofront/src/State/ConfigurationCopy.cpp
@@ -57,13 +57,14 @@
   return availabilityChanged;
 }
 
-Duration ConfigurationCopy::leaseLeft(TimePoint now) const {
+Duration ConfigurationCopy::remainingLease(TimePoint now) const {
   if (!ConfirmedAt)
     return Duration::zero();
   return std::max(*ConfirmedAt + Options.Lease - now, Duration::zero());
 }
 
-std::optional<Duration> ConfigurationCopy::confirmedAge(TimePoint now) const {
+std::optional<Duration>
+ConfigurationCopy::confirmationAge(TimePoint now) const {
   if (!ConfirmedAt)
     return std::nullopt;
   return now - *ConfirmedAt;
@@ -80,7 +81,7 @@
 }
 
 bool ConfigurationCopy::isConfirmed(TimePoint now) const {
-  return leaseLeft(now) > Duration::zero();
+  return remainingLease(now) > Duration::zero();
 }
 
 } // namespace pimentofront
--- a/packages/state/pimentofront/src/State/ConfigurationCopy.h
+++ b/packages/state/pimentofront/src/State/ConfigurationCopy.h
@@ -44,7 +44,7 @@
   Revision revision() const { return Records.revision(); }
   const Configuration &records() const { return Records; }
   /// \returns how long isConfirmed() stays true without a further confirmation.
-  Duration leaseLeft(TimePoint now) const;
+  Duration remainingLease(TimePoint now) const;
 
   std::optional<AdapterRecord>
   findAdapter(const AdapterName &name) const override {
@@ -57,7 +57,7 @@
   bool isEvacuated(const ZoneName &zone) const override;
   const DocumentRecord *document() const { return Records.document(); }
   bool isConfirmed(TimePoint now) const override;
-  std::optional<Duration> confirmedAge(TimePoint now) const override;
+  std::optional<Duration> confirmationAge(TimePoint now) const override;
 
 private:
   struct Probe {
--- a/packages/state/pimentofront/src/State/EvacuationOrders.cpp
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.cpp
@@ -2,7 +2,7 @@
 
 namespace pimentofront {
 
-void EvacuationOrders::lead(TimePoint now, std::uint64_t term) {
+void EvacuationOrders::startLeading(TimePoint now, std::uint64_t term) {
   if (term == Term)
     return;
   Term = term;
@@ -10,28 +10,28 @@
   Zones.clear();
 }
 
-EvacuationVerdict EvacuationOrders::judge(TimePoint now,
-                                          const Configuration &current,
-                                          const ZoneName &zone,
-                                          bool evacuated) const {
+EvacuationDecision EvacuationOrders::evaluate(TimePoint now,
+                                              const Configuration &current,
+                                              const ZoneName &zone,
+                                              bool evacuated) const {
   const auto it = Zones.find(zone);
   const Zone known = it == Zones.end() ? Zone() : it->second;
   if (known.ProposalPending)
-    return EvacuationVerdict::MaybeLate;
+    return EvacuationDecision::PossiblyStale;
   const ZoneRecord *present = current.findZone(zone);
   if ((present && present->Evacuated) == evacuated)
-    return EvacuationVerdict::InForce;
+    return EvacuationDecision::InForce;
   // Without a record no order on this zone was ever accepted.
   if (!present)
-    return EvacuationVerdict::New;
+    return EvacuationDecision::New;
   const auto &last = evacuated ? known.EvacuatedAt : known.RestoredAt;
   return now < last.value_or(TermStartedAt) + ResendWindow
-             ? EvacuationVerdict::MaybeLate
-             : EvacuationVerdict::New;
+             ? EvacuationDecision::PossiblyStale
+             : EvacuationDecision::New;
 }
 
-void EvacuationOrders::noteTaken(TimePoint now, const ZoneName &zone,
-                                 bool evacuated) {
+void EvacuationOrders::recordAcknowledged(TimePoint now, const ZoneName &zone,
+                                          bool evacuated) {
   Zone &it = Zones[zone];
   (evacuated ? it.EvacuatedAt : it.RestoredAt) = now;
   it.ProposalPending = false;
--- a/packages/state/pimentofront/src/State/EvacuationOrders.h
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.h
@@ -6,12 +6,12 @@
 namespace pimentofront {
 
 /// How an order to evacuate or restore a zone is handled.
-enum class EvacuationVerdict : std::uint8_t {
+enum class EvacuationDecision : std::uint8_t {
   /// The zone is in the ordered state already: the order is acknowledged again.
   InForce,
   /// The order may be a late resend that an opposite order has superseded, or
   /// another order on the zone is pending. It can't be decided now.
-  MaybeLate,
+  PossiblyStale,
   New,
 };
 
@@ -40,23 +40,23 @@
       : ResendWindow(resendWindow) {}
 
   /// This process is the leader in \p term. Repeated calls have no effect.
-  void lead(TimePoint now, std::uint64_t term);
+  void startLeading(TimePoint now, std::uint64_t term);
   /// Decides how to handle an order to evacuate or, if \p evacuated is false,
   /// to restore \p zone. \param current the configuration with all orders
   /// accepted so far.
-  EvacuationVerdict judge(TimePoint now, const Configuration &current,
-                          const ZoneName &zone, bool evacuated) const;
+  EvacuationDecision evaluate(TimePoint now, const Configuration &current,
+                              const ZoneName &zone, bool evacuated) const;
   /// A new order was proposed to the log. Further orders on the zone wait until
-  /// noteTaken() or noteNotProposed().
-  void noteProposed(const ZoneName &zone) {
+  /// recordAcknowledged() or recordProposalFailed().
+  void recordProposed(const ZoneName &zone) {
     Zones[zone].ProposalPending = true;
   }
   /// The order couldn't be proposed.
-  void noteNotProposed(const ZoneName &zone) {
+  void recordProposalFailed(const ZoneName &zone) {
     Zones[zone].ProposalPending = false;
   }
   /// An order was applied, or was in force already and acknowledged again.
-  void noteTaken(TimePoint now, const ZoneName &zone, bool evacuated);
+  void recordAcknowledged(TimePoint now, const ZoneName &zone, bool evacuated);
 
 private:
   struct Zone {
--- a/packages/state/pimentofront/src/State/QuarantineLedger.cpp
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.cpp
@@ -9,12 +9,13 @@
 /// a few whose reports were under way at that time.
 constexpr std::size_t MaxStoredExits = 8;
 
-const ServerEnd *findExit(const QuarantineRecord &record,
-                          const ServerProcess &server) {
-  const auto it = std::ranges::find_if(record.Ends, [&](const ServerEnd &end) {
-    return maybeSame(end.Server, server);
-  });
-  return it == record.Ends.end() ? nullptr : &*it;
+const ServerExit *findExit(const QuarantineRecord &record,
+                           const ServerProcess &server) {
+  const auto it =
+      std::ranges::find_if(record.Exits, [&](const ServerExit &end) {
+        return mayBeSameProcess(end.Server, server);
+      });
+  return it == record.Exits.end() ? nullptr : &*it;
 }
 
 } // namespace
@@ -60,8 +61,8 @@
 // Server crashes
 //===----------------------------------------------------------------------===//
 
-CommandOutcome QuarantineLedger::report(const ReportServerEnd &end) {
-  for (const RequestAtWork &it : end.AtWork)
+CommandOutcome QuarantineLedger::report(const ReportServerExit &end) {
+  for (const InFlightRequest &it : end.RequestsInFlight)
     addExit(end.Server, it);
   return {.At = Version};
 }
@@ -75,15 +76,15 @@
 /// restart within some hundred milliseconds.
 bool QuarantineLedger::isKnownExit(const QuarantineRecord &record,
                                    const ServerProcess &server, bool tried) {
-  const ServerEnd *end = findExit(record, server);
+  const ServerExit *end = findExit(record, server);
   const bool beforeTrial =
-      end && end - record.Ends.data() <
-                 static_cast<std::ptrdiff_t>(record.EndsAtGrant);
+      end && end - record.Exits.data() <
+                 static_cast<std::ptrdiff_t>(record.ExitsAtGrant);
   return end && !(tried && beforeTrial);
 }
 
 void QuarantineLedger::addExit(const ServerProcess &server,
-                               const RequestAtWork &request) {
+                               const InFlightRequest &request) {
   if (!Records.contains(request.Content))
     evictOldest();
   QuarantineRecord &record = Records[request.Content];
@@ -93,8 +94,8 @@
   const bool isNew = !isKnownExit(record, server, tried);
   if (tried)
     record.Holder = AttemptId();
-  if (isNew && record.Ends.size() < MaxStoredExits)
-    record.Ends.push_back({server, request.Answering});
+  if (isNew && record.Exits.size() < MaxStoredExits)
+    record.Exits.push_back({server, request.Answering});
   // It was released from quarantine for a trial and has crashed another server.
   if (isNew && record.Quarantines > 0 && !record.Quarantined)
     return putInQuarantine(record);
@@ -102,23 +103,23 @@
 }
 
 bool QuarantineLedger::isSoleSuspect(const QuarantineRecord &record,
-                                     const ServerEnd &end) const {
+                                     const ServerExit &end) const {
   if (end.Answering)
     return false;
   return std::ranges::none_of(Records, [&](const auto &it) {
-    const ServerEnd *other = findExit(it.second, end.Server);
+    const ServerExit *other = findExit(it.second, end.Server);
     return it.first != record.Content && other && !other->Answering;
   });
 }
 
 bool QuarantineLedger::shouldQuarantine(const QuarantineRecord &record) const {
-  if (record.LateTrials >= Options.MaxLateTrials)
+  if (record.TrialsAfterThreshold >= Options.MaxTrialsAfterThreshold)
     return true;
-  if (record.Quarantines > 0 || record.Ends.size() < Options.ExitsToQuarantine)
+  if (record.Quarantines > 0 || record.Exits.size() < Options.ExitsToQuarantine)
     return false;
-  if (record.Ends.size() >= Options.MaxExits)
+  if (record.Exits.size() >= Options.MaxExits)
     return true;
-  return std::ranges::any_of(record.Ends, [&](const ServerEnd &it) {
+  return std::ranges::any_of(record.Exits, [&](const ServerExit &it) {
     return isSoleSuspect(record, it);
   });
 }
@@ -149,11 +150,11 @@
   // one trial.
   const bool isNew = record.Holder != trial.Holder;
   record.Holder = trial.Holder;
-  record.HeldFor = trial.HeldFor;
-  record.EndsAtGrant = static_cast<std::uint32_t>(record.Ends.size());
-  const bool late = record.Ends.size() >= Options.ExitsToQuarantine;
+  record.MaxTrialDuration = trial.MaxTrialDuration;
+  record.ExitsAtGrant = static_cast<std::uint32_t>(record.Exits.size());
+  const bool late = record.Exits.size() >= Options.ExitsToQuarantine;
   if (isNew && late)
-    ++record.LateTrials;
+    ++record.TrialsAfterThreshold;
   return {.At = Version};
 }
 
@@ -169,8 +170,8 @@
   if (record.Holder != trial.Holder)
     return {.Result = CommandResult::Conflict, .At = Version};
   record.Holder = AttemptId();
-  if (trial.Ending == TrialEnding::NotRun && record.LateTrials > 0)
-    --record.LateTrials;
+  if (trial.Ending == TrialEnding::NotRun && record.TrialsAfterThreshold > 0)
+    --record.TrialsAfterThreshold;
   return {.At = Version};
 }
 
@@ -190,7 +191,7 @@
     } else if (record.Quarantined) {
       // The servers may have been repaired: allow one trial.
       record.Quarantined = false;
-      record.LateTrials = 0;
+      record.TrialsAfterThreshold = 0;
       markChanged(record);
     } else {
       remove(due.Content);
--- a/packages/state/pimentofront/src/State/QuarantineLedger.h
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.h
@@ -24,7 +24,7 @@
   /// Trials granted after ExitsToQuarantine crashes, as far as they aren't
   /// known not to have run. A request that has had this many is put in
   /// quarantine.
-  std::uint32_t MaxLateTrials = 2;
+  std::uint32_t MaxTrialsAfterThreshold = 2;
   /// Maximum number of records, of some 200 bytes each. A server crash adds up
   /// to a batch of them, most of which are removed within a second.
   std::size_t Capacity = 4096;
@@ -48,16 +48,16 @@
 /// (adaptive group testing, Dorfman, 1943).
 ///
 /// Invariant: once a request is watched, at most one attempt runs it at a time;
-/// after ExitsToQuarantine crashes, at most MaxLateTrials further trials are
-/// granted whose outcome stays unclear. The ledger uses no clock: the leader
-/// decides when a record has been unchanged for long enough, see
+/// after ExitsToQuarantine crashes, at most MaxTrialsAfterThreshold further
+/// trials are granted whose outcome stays unclear. The ledger uses no clock:
+/// the leader decides when a record has been unchanged for long enough, see
 /// QuarantineReview.
 class QuarantineLedger {
 public:
   explicit QuarantineLedger(const QuarantineLedgerOptions &options = {})
       : Options(options) {}
 
-  CommandOutcome report(const ReportServerEnd &end);
+  CommandOutcome report(const ReportServerExit &end);
   CommandOutcome claim(const ClaimTrial &trial);
   CommandOutcome end(const EndTrial &trial);
   CommandOutcome review(const ReviewQuarantine &review);
@@ -77,7 +77,7 @@
   void restoreVersion(std::uint64_t version);
 
 private:
-  void addExit(const ServerProcess &server, const RequestAtWork &request);
+  void addExit(const ServerProcess &server, const InFlightRequest &request);
   static bool isKnownExit(const QuarantineRecord &record,
                           const ServerProcess &server, bool tried);
   void markChanged(QuarantineRecord &record);
@@ -88,7 +88,7 @@
   /// \returns whether \p record is the only suspect in the crash \p end: it was
   /// waiting for its first event then, and no other recorded request was.
   bool isSoleSuspect(const QuarantineRecord &record,
-                     const ServerEnd &end) const;
+                     const ServerExit &end) const;
 
   QuarantineLedgerOptions Options;
   std::map<ContentHash, QuarantineRecord> Records;
--- a/packages/state/pimentofront/src/State/QuarantineReview.cpp
+++ b/packages/state/pimentofront/src/State/QuarantineReview.cpp
@@ -6,7 +6,7 @@
 
 Duration QuarantineReview::retentionOf(const QuarantineRecord &record) const {
   if (record.Holder != AttemptId())
-    return record.HeldFor + Options.TrialGrace;
+    return record.MaxTrialDuration + Options.TrialGrace;
   if (!record.Quarantined)
     return Options.WatchRetention;
   constexpr std::uint32_t MaxDoublings = 4;
--- a/packages/state/pimentofront/src/State/StateMachine.cpp
+++ b/packages/state/pimentofront/src/State/StateMachine.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-bool isProperName(std::string_view name) {
+bool isValidName(std::string_view name) {
   const auto isAllowed = [](unsigned char c) {
     return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == '/';
   };
@@ -99,8 +99,8 @@
     return setKind(command, *it);
   if (const auto *it = std::get_if<PutDocument>(&body))
     return putDocument(command, *it);
-  if (const auto *it = std::get_if<NameVersion>(&body))
-    return nameVersion(command, *it);
+  if (const auto *it = std::get_if<ActivateVersion>(&body))
+    return activateVersion(command, *it);
   if (const auto *it = std::get_if<EvacuateZone>(&body))
     return evacuate(command, *it);
   return setDrained(command, std::get<SetDrained>(body));
@@ -108,7 +108,7 @@
 
 std::optional<CommandOutcome>
 StateMachine::applyQuarantine(const CommandBody &body) {
-  if (const auto *it = std::get_if<ReportServerEnd>(&body))
+  if (const auto *it = std::get_if<ReportServerExit>(&body))
     return Quarantine.report(*it);
   if (const auto *it = std::get_if<ClaimTrial>(&body))
     return Quarantine.claim(*it);
@@ -123,7 +123,7 @@
 
 CommandOutcome StateMachine::createAdapter(const Command &command,
                                            const CreateAdapter &body) {
-  if (!isProperName(body.Adapter.str()) || !isProperName(body.BaseModel))
+  if (!isValidName(body.Adapter.str()) || !isValidName(body.BaseModel))
     return refuse(CommandResult::Invalid, NameRule);
   if (const auto existing = Records.findAdapter(body.Adapter))
     return conflict(existing->ChangedBy, "the adapter exists");
@@ -175,7 +175,7 @@
   constexpr std::uint32_t MaxWeight = 1000;
   constexpr Duration MaxWindow = std::chrono::hours(1);
   const KindRecord &kind = body.Record;
-  if (!isProperName(kind.Name.str()))
+  if (!isValidName(kind.Name.str()))
     return refuse(CommandResult::Invalid, NameRule);
   if (kind.Weight < 1 || kind.Weight > MaxWeight ||
       kind.Window <= Duration::zero() || kind.Window > MaxWindow)
@@ -190,7 +190,7 @@
 
 CommandOutcome StateMachine::setDrained(const Command &command,
                                         const SetDrained &body) {
-  if (!isProperName(body.Host.str()))
+  if (!isValidName(body.Host.str()))
     return refuse(CommandResult::Invalid, NameRule);
   return accept(command,
                 DrainRecord{.Host = body.Host, .Drained = body.Drained});
@@ -198,7 +198,7 @@
 
 CommandOutcome StateMachine::evacuate(const Command &command,
                                       const EvacuateZone &body) {
-  if (!isProperName(body.Zone.str()))
+  if (!isValidName(body.Zone.str()))
     return refuse(CommandResult::Invalid, NameRule);
   const ZoneRecord *present = Records.findZone(body.Zone);
   if (command.BuildsOn != 0 && present &&
@@ -220,9 +220,9 @@
                 DocumentRecord{.Number = body.Number, .Packed = body.Packed});
 }
 
-CommandOutcome StateMachine::nameVersion(const Command &command,
-                                         const NameVersion &body) {
-  if (!isProperName(body.Adapter.str()) || !isProperName(body.BaseModel))
+CommandOutcome StateMachine::activateVersion(const Command &command,
+                                             const ActivateVersion &body) {
+  if (!isValidName(body.Adapter.str()) || !isValidName(body.BaseModel))
     return refuse(CommandResult::Invalid, NameRule);
   if (body.Number == 0)
     return refuse(CommandResult::Invalid, "a version has a number from 1");
@@ -240,8 +240,8 @@
   std::erase_if(adapter.Versions, [&](const VersionRecord &it) {
     return it.Number == body.Number;
   });
-  // NameVersion keeps adding versions to an adapter, so the oldest version is
-  // dropped at the limit.
+  // ActivateVersion keeps adding versions to an adapter, so the oldest version
+  // is dropped at the limit.
   if (adapter.Versions.size() >= MaxVersions)
     adapter.Versions.erase(adapter.Versions.begin());
   adapter.Versions.push_back({.Number = body.Number, .Live = true});
--- a/packages/state/pimentofront/src/State/StateMachine.h
+++ b/packages/state/pimentofront/src/State/StateMachine.h
@@ -11,7 +11,7 @@
 
 /// \returns whether \p name is valid for an adapter, a host, a zone and the
 /// like: 1 to 128 of the characters a-z A-Z 0-9 - _ . /
-bool isProperName(std::string_view name);
+bool isValidName(std::string_view name);
 
 /// \class StateMachine
 /// \ingroup State
@@ -48,7 +48,8 @@
   CommandOutcome setDrained(const Command &command, const SetDrained &body);
   CommandOutcome evacuate(const Command &command, const EvacuateZone &body);
   CommandOutcome putDocument(const Command &command, const PutDocument &body);
-  CommandOutcome nameVersion(const Command &command, const NameVersion &body);
+  CommandOutcome activateVersion(const Command &command,
+                                 const ActivateVersion &body);
   /// Stores \p record as the next revision of the configuration.
   template <class Record>
   CommandOutcome accept(const Command &command, Record record);
--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
@@ -75,7 +75,7 @@
   Work work{.Request = request};
   // Goes on where an earlier attempt broke off.
   work.Position =
-      static_cast<std::uint64_t>(std::ranges::count(request.Resumed, ' '));
+      static_cast<std::uint64_t>(std::ranges::count(request.ResumeText, ' '));
   work.End = work.Position + request.MaxTokens;
   Running[request.Attempt] = std::move(work);
   Joining.push_back(request.Attempt);
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -79,7 +79,7 @@
         });
       return;
     }
-    if (const auto *whole = std::get_if<ReplyWhole>(&command)) {
+    if (const auto *whole = std::get_if<ReplyComplete>(&command)) {
       begin(whole->Key, whole->Head);
       Fleet.Calls.at(whole->Key).Answer.Body = whole->Body;
       return Fleet.endCall(whole->Key, /*whole=*/true);
@@ -106,7 +106,7 @@
     answer.Status = head.Status;
     answer.Stamped = findHeader(head.Headers, "stamp") != nullptr;
     if (const std::string *it = findHeader(head.Headers, "come-back"))
-      answer.ComeBack = Duration(std::stoll(*it));
+      answer.RetryAfter = Duration(std::stoll(*it));
   }
 
   ForwardFleet &Fleet;
@@ -188,7 +188,7 @@
                           .BaseModel = Service,
                           .Slots = Options.AdapterSlots,
                           .BatchCapacity = Slots,
-                          .CompanyShare = 0},
+                          .BatchingShare = 0},
                 .Zone = zoneOf(i),
                 .Address = host.str(),
                 .Replicas = Addresses};
@@ -340,7 +340,7 @@
                       .Entry = run.Entry,
                       .Zone = zoneOf(static_cast<std::uint32_t>(i)),
                       .Cold = Place.now() < server.ColdUntil});
-  if (server.Asks.Rest)
+  if (server.Asks.Backoff)
     return turnAway(server, run);
   const std::uint64_t id = ++LastRun;
   server.Runs.emplace(id, run);
@@ -350,7 +350,7 @@
 }
 
 void ForwardFleet::turnAway(const Server &server, const Run &run) {
-  const double seconds = toSeconds(*server.Asks.Rest);
+  const double seconds = toSeconds(*server.Asks.Backoff);
   tellHead(server, run, StatusUnavailable,
            {{"not-run", "1"}, {"rest", std::to_string(seconds)}});
 }
@@ -360,7 +360,7 @@
   ServerAsks asks = server.Asks;
   // Only who is turned away is asked for rest.
   if (status != StatusUnavailable)
-    asks.Rest.reset();
+    asks.Backoff.reset();
   headers.push_back({"id", run.Id});
   if (asks.Limit)
     headers.push_back({"limit", std::to_string(*asks.Limit)});
@@ -368,7 +368,7 @@
     headers.push_back({"leaving", "1"});
   tell(run, [this, run, status, headers, asks,
              name = server.Name](ForwardNode &node) {
-    if (asks.Limit || asks.Rest || asks.Leaving)
+    if (asks.Limit || asks.Backoff || asks.Leaving)
       Told.push_back({Place.now(), name, run.Entry, asks});
     node.upstreamHead(Place.now(), run.Attempt, {status, headers});
   });
@@ -407,11 +407,12 @@
 void ForwardFleet::onCheck(WorldProcess &entry, const CheckServer &check) {
   constexpr Duration Timeout = std::chrono::milliseconds(200);
   const Server *server = at(check.Address);
-  ServerLife life = server->Up ? ServerLife::Lives : ServerLife::Ended;
+  ServerCheckResult life =
+      server->Up ? ServerCheckResult::StillRunning : ServerCheckResult::Exited;
   if (server->Dark)
-    life = ServerLife::Unknown;
+    life = ServerCheckResult::Unknown;
   const Duration wait =
-      life == ServerLife::Unknown ? Timeout : 2 * Options.Latency;
+      life == ServerCheckResult::Unknown ? Timeout : 2 * Options.Latency;
   Place.after(wait,
               [this, host = entry.Spec.Host, incarnation = entry.Incarnation,
                process = check.Server, life] {
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
@@ -47,7 +47,7 @@
   TimePoint EndedAt;
   int Status = 0;
   /// When to come back, of a refusal.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   std::string Body;
   /// The answer is complete; a server's own one, if it has a stamp.
   bool Whole = false;
@@ -59,7 +59,7 @@
   /// Requests a second, from all entries together.
   std::optional<double> Limit;
   /// Turns all new requests away and wants nothing for so long.
-  std::optional<Duration> Rest;
+  std::optional<Duration> Backoff;
   bool Leaving = false;
 };
 
--- a/packages/testkit/src/ReplayMain.cpp
+++ b/packages/testkit/src/ReplayMain.cpp
@@ -164,7 +164,7 @@
   else if (knob == "stall-share")
     policy.StallShare = value;
   else if (knob == "company")
-    policy.CompanyShare = value;
+    policy.BatchingShare = value;
   else if (knob == "session-half-life")
     policy.Popularity.SessionHalfLife = fromSeconds(value);
   else if (knob == "spill")
--- a/packages/wire/pimentofront/src/Wire/Allotment.h
+++ b/packages/wire/pimentofront/src/Wire/Allotment.h
@@ -23,9 +23,9 @@
   /// Units that each waiting request needs, in order.
   std::vector<std::uint64_t> Needs;
   /// Units that the entry would like to hold in addition.
-  std::uint64_t Wished = 0;
+  std::uint64_t Desired = 0;
   PIMENTOFRONT_FIELDS(AllotmentUse, Account, Ledger, Spent, Returned, Needs,
-                      Wished)
+                      Desired)
 };
 
 /// Entry to leader: reports use, and renews the leases of the accounts that it
@@ -50,14 +50,14 @@
   bool Decided = false;
   /// How many of the reported needs, from the first on, may be met; the others
   /// exceed the limit.
-  std::uint32_t Met = 0;
+  std::uint32_t NeedsMet = 0;
   std::uint64_t Units = 0;
   /// Retry-after: time until units for the first unmet need are available.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   /// Units that the account has left, for logs.
   std::uint64_t Level = 0;
-  PIMENTOFRONT_FIELDS(AllotmentGrant, Account, Decided, Met, Units, ComeBack,
-                      Level)
+  PIMENTOFRONT_FIELDS(AllotmentGrant, Account, Decided, NeedsMet, Units,
+                      RetryAfter, Level)
 };
 
 /// \class AccountStatus
@@ -72,12 +72,12 @@
   std::uint64_t Burst = 0;
   /// Units that it may spend now, and units that entries hold.
   std::uint64_t Level = 0;
-  std::uint64_t Lent = 0;
+  std::uint64_t LeasedUnits = 0;
   /// Units granted and requests refused since the ledger began.
   std::uint64_t Granted = 0;
   std::uint64_t Refused = 0;
   PIMENTOFRONT_FIELDS(AccountStatus, Account, Keys, PerSecond, Burst, Level,
-                      Lent, Granted, Refused)
+                      LeasedUnits, Granted, Refused)
 };
 
 /// Leader to entry, in reply to a report.
--- a/packages/wire/pimentofront/src/Wire/AttemptMessages.h
+++ b/packages/wire/pimentofront/src/Wire/AttemptMessages.h
@@ -50,17 +50,17 @@
 
 /// \returns whether the attempt only asked whether the host can serve the
 /// request soon: the host could run it, but another one may be better.
-constexpr bool onlyAskedAround(RefusalReason reason) {
+constexpr bool isConditionalRefusal(RefusalReason reason) {
   return reason == RefusalReason::NotResident || reason == RefusalReason::Busy;
 }
 
 /// \returns the name of \p reason in logs, metrics and errors.
 const char *refusalReasonName(RefusalReason reason);
 
-/// \class LoadFigures
+/// \class AgentLoad
 /// \ingroup Wire
 /// \brief The load that an agent reports with each reply; a hint for routing.
-struct LoadFigures {
+struct AgentLoad {
   std::uint32_t Running = 0;
   std::uint32_t Queued = 0;
   std::uint32_t BatchCapacity = 0;
@@ -72,7 +72,7 @@
   std::uint32_t VictimValue = 0;
   /// How long the engine needs for the prompts that it has accepted.
   Duration PrefillWait = Duration::zero();
-  PIMENTOFRONT_FIELDS(LoadFigures, Running, Queued, BatchCapacity, LoadWait,
+  PIMENTOFRONT_FIELDS(AgentLoad, Running, Queued, BatchCapacity, LoadWait,
                       VictimValue, PrefillWait)
 };
 
@@ -107,7 +107,7 @@
   std::string Source;
   std::string Prompt;
   /// Text that the caller already received from an earlier attempt.
-  std::string Resumed;
+  std::string ResumeText;
   std::uint32_t MaxTokens = 0;
   /// Set for a plain service, which has no adapter.
   ServiceName Service;
@@ -139,7 +139,7 @@
   /// \returns that process.
   ServerProcess server() const { return {Server, ServerStartedAt}; }
   PIMENTOFRONT_FIELDS(ExecuteRequest, Attempt, Request, Caller, Kind, Weight,
-                      Remaining, Key, BaseModel, Source, Prompt, Resumed,
+                      Remaining, Key, BaseModel, Source, Prompt, ResumeText,
                       MaxTokens, Service, Method, Payload, OnlyIfResident,
                       Delegated, Parts, FirstEventWithin, FirstEventDue, Server,
                       ServerStartedAt, Limit, Cold)
@@ -149,15 +149,15 @@
 /// adapter is in its slot and stays there until `AttemptReleased`.
 struct AttemptPermit {
   AttemptId Attempt;
-  LoadFigures Load;
+  AgentLoad Load;
   /// The engine's limit, which other entries may have reported.
   RateLimit Limit;
   /// Time between two requests at the engine's current rate; zero while the
   /// engine is neither limited nor cold. A permit that was delayed for longer
   /// is void: requests that were permitted over a period must not be sent all
   /// at once.
-  Duration Pace = Duration::zero();
-  PIMENTOFRONT_FIELDS(AttemptPermit, Attempt, Load, Limit, Pace)
+  Duration SendInterval = Duration::zero();
+  PIMENTOFRONT_FIELDS(AttemptPermit, Attempt, Load, Limit, SendInterval)
 };
 
 /// The outcome of an attempt that had a permit.
@@ -218,7 +218,7 @@
 /// Agent to entry: the attempt is queued or running.
 struct AttemptAdmitted {
   AttemptId Attempt;
-  LoadFigures Load;
+  AgentLoad Load;
   PIMENTOFRONT_FIELDS(AttemptAdmitted, Attempt, Load)
 };
 
@@ -226,13 +226,13 @@
 struct AttemptRefused {
   AttemptId Attempt;
   RefusalReason Reason = RefusalReason::None;
-  /// Retry-after. If the attempt only asked (see onlyAskedAround()): how long
-  /// its first event would take.
-  Duration ComeBack = Duration::zero();
-  LoadFigures Load;
+  /// Retry-after. If the attempt only asked (see isConditionalRefusal()): how
+  /// long its first event would take.
+  Duration RetryAfter = Duration::zero();
+  AgentLoad Load;
   /// The adapter is loaded or being loaded.
   bool Holds = false;
-  PIMENTOFRONT_FIELDS(AttemptRefused, Attempt, Reason, ComeBack, Load, Holds)
+  PIMENTOFRONT_FIELDS(AttemptRefused, Attempt, Reason, RetryAfter, Load, Holds)
 };
 
 /// Agent to entry: a part of the answer.
@@ -263,7 +263,7 @@
   std::uint64_t Tokens = 0;
   /// Time that the attempt waited for its adapter.
   Duration LoadStall = Duration::zero();
-  LoadFigures Load;
+  AgentLoad Load;
   PIMENTOFRONT_FIELDS(AttemptFinished, Attempt, Ending, Payload, Tokens,
                       LoadStall, Load)
 };
--- a/packages/wire/pimentofront/src/Wire/Commands.h
+++ b/packages/wire/pimentofront/src/Wire/Commands.h
@@ -100,19 +100,19 @@
 
 /// Makes a version of an adapter the only live one, unless a higher one is
 /// live. Creates the adapter if it does not exist.
-struct NameVersion {
+struct ActivateVersion {
   AdapterName Adapter;
   std::string BaseModel;
   VersionNumber Number = 0;
-  PIMENTOFRONT_FIELDS(NameVersion, Adapter, BaseModel, Number)
+  PIMENTOFRONT_FIELDS(ActivateVersion, Adapter, BaseModel, Number)
 };
 
 /// The process of a backend server exited. Any of the requests in progress on
 /// it may have caused that.
-struct ReportServerEnd {
+struct ReportServerExit {
   ServerProcess Server;
-  std::vector<RequestAtWork> AtWork;
-  PIMENTOFRONT_FIELDS(ReportServerEnd, Server, AtWork)
+  std::vector<InFlightRequest> RequestsInFlight;
+  PIMENTOFRONT_FIELDS(ReportServerExit, Server, RequestsInFlight)
 };
 
 /// Requests the trial grant for a watched request. Granted to one attempt at a
@@ -121,8 +121,8 @@
   ContentHash Content;
   AttemptId Holder;
   /// Maximum duration of the attempt.
-  Duration HeldFor = Duration::zero();
-  PIMENTOFRONT_FIELDS(ClaimTrial, Content, Holder, HeldFor)
+  Duration MaxTrialDuration = Duration::zero();
+  PIMENTOFRONT_FIELDS(ClaimTrial, Content, Holder, MaxTrialDuration)
 };
 
 /// How a trial of a watched request ended when its server did not exit.
@@ -170,8 +170,8 @@
 /// are appended at the end.
 using CommandBody =
     std::variant<CreateAdapter, CreateVersion, DeclareLive, SetKind, SetDrained,
-                 ClaimRequest, RecordEnding, PutDocument, NameVersion,
-                 ReportServerEnd, ClaimTrial, EndTrial, ReviewQuarantine,
+                 ClaimRequest, RecordEnding, PutDocument, ActivateVersion,
+                 ReportServerExit, ClaimTrial, EndTrial, ReviewQuarantine,
                  ReleaseQuarantine, EvacuateZone>;
 
 /// \class Command
--- a/packages/wire/pimentofront/src/Wire/ConsensusMessages.h
+++ b/packages/wire/pimentofront/src/Wire/ConsensusMessages.h
@@ -35,7 +35,7 @@
   PIMENTOFRONT_FIELDS(ReplicaGroup, Replicas)
 };
 
-enum class EntryKind : std::uint8_t { Nothing, Command, Group };
+enum class EntryKind : std::uint8_t { NoOp, Command, Group };
 
 /// \class LogEntry
 /// \ingroup Wire
@@ -43,7 +43,7 @@
 struct LogEntry {
   Term EntryTerm = 0;
   LogIndex Index = 0;
-  EntryKind Kind = EntryKind::Nothing;
+  EntryKind Kind = EntryKind::NoOp;
   /// Wall clock of the leader that wrote it, in milliseconds since 1970: the
   /// only time that the state machine uses.
   std::uint64_t WallMilliseconds = 0;
@@ -51,20 +51,20 @@
   PIMENTOFRONT_FIELDS(LogEntry, EntryTerm, Index, Kind, WallMilliseconds, Data)
 };
 
-/// Requests a vote, or with `Probe` asks whether one would be granted
+/// Requests a vote, or with `PreVote` asks whether one would be granted
 /// (pre-vote).
 struct VoteRequest {
   ReplicaId From = 0;
   Term CandidateTerm = 0;
   LogIndex LastIndex = 0;
   Term LastTerm = 0;
-  bool Probe = false;
+  bool PreVote = false;
   /// All voters have replied that they know of no leader in the previous term,
   /// so that no replica holds a lease: any lease that a voter may have
   /// acknowledged before it started has ended.
-  bool NobodyLeads = false;
+  bool NoLeaderKnown = false;
   PIMENTOFRONT_FIELDS(VoteRequest, From, CandidateTerm, LastIndex, LastTerm,
-                      Probe, NobodyLeads)
+                      PreVote, NoLeaderKnown)
 };
 
 struct VoteReply {
@@ -73,12 +73,12 @@
   /// Term of the request, so that late replies are ignored.
   Term CandidateTerm = 0;
   bool Granted = false;
-  bool Probe = false;
+  bool PreVote = false;
   /// A probe was not granted only because this replica has just started and may
   /// have acknowledged a leader's lease before that.
-  bool OnlyJustStarted = false;
-  PIMENTOFRONT_FIELDS(VoteReply, From, VoterTerm, CandidateTerm, Granted, Probe,
-                      OnlyJustStarted)
+  bool DeniedByRecentStart = false;
+  PIMENTOFRONT_FIELDS(VoteReply, From, VoterTerm, CandidateTerm, Granted,
+                      PreVote, DeniedByRecentStart)
 };
 
 struct AppendRequest {
--- a/packages/wire/pimentofront/src/Wire/Message.h
+++ b/packages/wire/pimentofront/src/Wire/Message.h
@@ -20,7 +20,7 @@
     VoteReply, AppendRequest, AppendReply, SnapshotPart, SnapshotReply,
     JoinRequest, AdminRequest, AdminReply, AttemptPermit, AttemptReleased,
     EngineProfile, ReplicaAddresses, QuarantineUpdate, AllotmentReport,
-    AllotmentGrants, AttemptBegan, RateLimitSeen, SendPermitQuery,
+    AllotmentGrants, AttemptBegan, RateLimitReport, SendPermitQuery,
     SendPermitReply>;
 
 /// Version of the protocol between processes. A process rejects a `Hello` with
--- a/packages/wire/pimentofront/src/Wire/Quarantine.h
+++ b/packages/wire/pimentofront/src/Wire/Quarantine.h
@@ -17,26 +17,26 @@
   Quarantined,
 };
 
-/// \class RequestAtWork
+/// \class InFlightRequest
 /// \ingroup Wire
 /// \brief A request that a backend server had when its process exited.
-struct RequestAtWork {
+struct InFlightRequest {
   ContentHash Content;
   /// The server had begun to answer, so it did not crash when it began to run
   /// the request.
   bool Answering = false;
   /// Attempt that held the trial grant; empty if none did.
   AttemptId Holder;
-  PIMENTOFRONT_FIELDS(RequestAtWork, Content, Answering, Holder)
+  PIMENTOFRONT_FIELDS(InFlightRequest, Content, Answering, Holder)
 };
 
-/// \class ServerEnd
+/// \class ServerExit
 /// \ingroup Wire
 /// \brief The exit of a server's process, as counted for one request.
-struct ServerEnd {
+struct ServerExit {
   ServerProcess Server;
   bool Answering = false;
-  PIMENTOFRONT_FIELDS(ServerEnd, Server, Answering)
+  PIMENTOFRONT_FIELDS(ServerExit, Server, Answering)
 };
 
 /// \class QuarantineRecord
@@ -45,22 +45,23 @@
 struct QuarantineRecord {
   ContentHash Content;
   /// Each process once, however many entries reported its exit.
-  std::vector<ServerEnd> Ends;
+  std::vector<ServerExit> Exits;
   bool Quarantined = false;
   /// The one attempt that may be made now, and its maximum duration.
   AttemptId Holder;
-  Duration HeldFor = Duration::zero();
+  Duration MaxTrialDuration = Duration::zero();
   /// Number of exits that were known when the trial grant was given.
-  std::uint32_t EndsAtGrant = 0;
+  std::uint32_t ExitsAtGrant = 0;
   /// Trials after the number of exits sufficed for a quarantine, without a
   /// conclusive result.
-  std::uint32_t LateTrials = 0;
+  std::uint32_t TrialsAfterThreshold = 0;
   /// How often it was put in quarantine.
   std::uint32_t Quarantines = 0;
   /// Version of the ledger at the last change that is reported to entries.
   std::uint64_t ChangedAt = 0;
-  PIMENTOFRONT_FIELDS(QuarantineRecord, Content, Ends, Quarantined, Holder,
-                      HeldFor, EndsAtGrant, LateTrials, Quarantines, ChangedAt)
+  PIMENTOFRONT_FIELDS(QuarantineRecord, Content, Exits, Quarantined, Holder,
+                      MaxTrialDuration, ExitsAtGrant, TrialsAfterThreshold,
+                      Quarantines, ChangedAt)
 };
 
 /// The state of one request as reported to entries.
--- a/packages/wire/pimentofront/src/Wire/RateLimit.h
+++ b/packages/wire/pimentofront/src/Wire/RateLimit.h
@@ -59,10 +59,10 @@
 
 /// Entry to agent: what the answer to an attempt said of the engine's limit.
 /// Sent while the engine is known to be limited, and when the limit ends.
-struct RateLimitSeen {
+struct RateLimitReport {
   AttemptId Attempt;
   RateLimit Limit;
-  PIMENTOFRONT_FIELDS(RateLimitSeen, Attempt, Limit)
+  PIMENTOFRONT_FIELDS(RateLimitReport, Attempt, Limit)
 };
 
 /// Entry to leader: requests a permit to send to a limited or cold backend
@@ -84,9 +84,9 @@
   /// Time after `Delay` within which the request has to be sent.
   Duration Lifetime = Duration::zero();
   /// Retry-after, if the permit was not granted.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   PIMENTOFRONT_FIELDS(SendPermitReply, Nonce, Granted, Delay, Lifetime,
-                      ComeBack)
+                      RetryAfter)
 };
 
 } // namespace pimentofront
--- a/test/AccountTest.cpp
+++ b/test/AccountTest.cpp
@@ -42,7 +42,7 @@
                          {"POST", std::string("/") + route + "/q", headers},
                          "body", ContentHasher().add("body").finish());
   }
-  int refusal() { return only<ReplyWhole>().Head.Status; }
+  int refusal() { return only<ReplyComplete>().Head.Status; }
 };
 
 } // namespace
@@ -114,7 +114,7 @@
           "refused as unavailable") {
     it.Configuration.Confirmed = false;
     it.call("once", {{"key", "k9"}});
-    CHECK(it.take<ReplyWhole>().empty());
+    CHECK(it.take<ReplyComplete>().empty());
     it.Controller.tick(Now + 1700ms);
     CHECK(it.refusal() == 503);
   }
@@ -134,7 +134,7 @@
     "a key is accepted for the revocation bound after the last confirmation "
     "of the configuration") {
   const Duration bound = GENERATE(500ms, 2s, 5s, 30s);
-  NoAdapters configuration;
+  FakeConfiguration configuration;
   testkit::PlainHeaders headers;
   LeastLoaded routing;
   ForwardController controller({.Incarnation = 5, .RevocationBound = bound},
@@ -162,13 +162,13 @@
     bool refused = false;
     for (const ForwardCommand &it : controller.takeCommands()) {
       sent = sent || std::holds_alternative<SendUpstream>(it);
-      if (const auto *reply = std::get_if<ReplyWhole>(&it)) {
+      if (const auto *reply = std::get_if<ReplyComplete>(&it)) {
         refused = reply->Head.Status == 503;
         CHECK(findHeader(reply->Head.Headers, "come-back"));
       }
     }
     CHECK(sent != refused);
-    controller.onCallerGone(Now, 1);
+    controller.onCallerDisconnected(Now, 1);
     controller.takeCommands();
     return sent;
   };
@@ -193,7 +193,7 @@
   it.call("once", {{"key", "k1"}});
   CHECK(it.refusal() == 503);
   it.call("once", {{"key", "k9"}}, 2);
-  CHECK(it.take<ReplyWhole>().empty()); // It doesn't answer 401, either.
+  CHECK(it.take<ReplyComplete>().empty()); // It doesn't answer 401, either.
 }
 
 TEST_CASE("an account's priority overrides the priority of the route") {
@@ -237,8 +237,10 @@
   CHECK(report->Uses.front().Needs == std::vector<std::uint64_t>{900});
   AllotmentGrants grants{.Nonce = report->Nonce, .Ledger = 4, .Lease = 4s};
   SECTION("and is sent once they are granted") {
-    grants.Grants = {
-        {.Account = limited.Name, .Decided = true, .Met = 1, .Units = 1100}};
+    grants.Grants = {{.Account = limited.Name,
+                      .Decided = true,
+                      .NeedsMet = 1,
+                      .Units = 1100}};
     it.Controller.onAllotmentGrants(Now, grants);
     it.only<SendUpstream>();
     // The units granted in advance cover the next request, which doesn't state
@@ -251,9 +253,9 @@
   SECTION("and is refused beyond the limit, with the time until they are "
           "available") {
     grants.Grants = {
-        {.Account = limited.Name, .Decided = true, .ComeBack = 700ms}};
+        {.Account = limited.Name, .Decided = true, .RetryAfter = 700ms}};
     it.Controller.onAllotmentGrants(Now, grants);
-    const auto reply = it.only<ReplyWhole>();
+    const auto reply = it.only<ReplyComplete>();
     CHECK(reply.Head.Status == 429);
     CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) >= 350'000);
     CHECK(it.take<SendUpstream>().empty());
@@ -264,7 +266,7 @@
     CHECK(it.refusal() == 503);
   }
   SECTION("and asks for no units once its caller has disconnected") {
-    it.Controller.onCallerGone(Now, 1);
+    it.Controller.onCallerDisconnected(Now, 1);
     it.Controller.onLedgerLinkLost(Now);
     CHECK_FALSE(it.Controller.takeAllotmentReport(Now + 500ms));
   }
