--- a/test/AgentTest.cpp
+++ b/test/AgentTest.cpp
@@ -30,7 +30,7 @@
                                          .BaseModel = "base",
                                          .Slots = 2,
                                          .BatchCapacity = 2,
-                                         .CompanyShare = 0})
+                                         .BatchingShare = 0})
       : Controller(options, Eviction, Gate) {
     Controller.onEngineFound(Now - 10s, {}, true);
     Controller.onEngineFound(Now - 5s, {}, true);
@@ -137,7 +137,7 @@
   agent.Controller.onEngineFound(Now + 4s, {}, true);
   agent.Controller.onEngineFound(Now + 5s, {}, true);
   CHECK(agent.Controller.board().EngineReady);
-  CHECK(agent.Controller.board().SetAside.empty());
+  CHECK(agent.Controller.board().LoadBackoffs.empty());
 }
 
 TEST_CASE("each failed load of an adapter lengthens its backoff") {
@@ -151,7 +151,7 @@
     REQUIRE(refused);
     CHECK(refused->Reason == RefusalReason::LoadFailed);
     const Duration pause =
-        agent.Controller.board().SetAside.begin()->second.Until - now;
+        agent.Controller.board().LoadBackoffs.begin()->second.Until - now;
     CHECK(pause > before);
     before = pause / 2;
     agent.Controller.onExecute(now + 1ms, Entry, request(20 + i, "bad"));
@@ -174,8 +174,10 @@
 
 TEST_CASE("kinds share the engine by weight and the one of low weight is not "
           "starved") {
-  Agent agent(
-      {.BaseModel = "base", .Slots = 2, .BatchCapacity = 1, .CompanyShare = 0});
+  Agent agent({.BaseModel = "base",
+               .Slots = 2,
+               .BatchCapacity = 1,
+               .BatchingShare = 0});
   for (std::uint64_t i = 0; i < 40; ++i) {
     agent.Controller.onExecute(Now, Entry, request(i, "a", 900s, "heavy", 3));
     agent.Controller.onExecute(Now, Entry,
@@ -198,7 +200,7 @@
   Agent agent({.BaseModel = "base",
                .Slots = 2,
                .BatchCapacity = 8,
-               .CompanyShare = 0.1});
+               .BatchingShare = 0.1});
   agent.Controller.onExecute(Now, Entry, request(1, "a", 1s));
   agent.load(Now, "a");
   CHECK(agent.take<StartGeneration>().empty());
@@ -240,7 +242,7 @@
 // time.
 TEST_CASE("a queue status of the scheduler refuses no delegated request") {
   LeastPopular eviction;
-  SharedLoads gate({});
+  HybridLoads gate({});
   AgentController agent({.BaseModel = "base", .Slots = 2}, eviction, gate);
   agent.onEngineFound(Now - 10s, {}, true);
   agent.onEngineFound(Now, {}, true);
@@ -259,16 +261,16 @@
   agent.onEngineFound(Now - 5s, {}, true);
   agent.onExecute(Now, Entry, request(1, "a", 60s));
   agent.tick(Now + 1900ms);
-  CHECK(agent.board().LoadsUnderWay == 0);
+  CHECK(agent.board().LoadsInFlight == 0);
   agent.tick(Now + 2100ms);
-  CHECK(agent.board().LoadsUnderWay == 1);
+  CHECK(agent.board().LoadsInFlight == 1);
   agent.onLoadEnded(Now + 2200ms, {AdapterName("a"), 1}, true, 100ms);
   agent.onExecute(Now + 2200ms, Entry, request(2, "b", 60s));
   // Eight agents share four loads per second: one each in 2 s.
   agent.tick(Now + 4s);
-  CHECK(agent.board().LoadsUnderWay == 0);
+  CHECK(agent.board().LoadsInFlight == 0);
   agent.tick(Now + 4300ms);
-  CHECK(agent.board().LoadsUnderWay == 1);
+  CHECK(agent.board().LoadsInFlight == 1);
 }
 
 TEST_CASE("when an entry is gone its generations are cancelled and its service "
@@ -276,7 +278,7 @@
   Agent agent({.BaseModel = "base",
                .Services = {ServiceName("stock")},
                .Slots = 2,
-               .CompanyShare = 0});
+               .BatchingShare = 0});
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   agent.load(Now, "a");
   agent.Controller.onExecute(
@@ -284,7 +286,7 @@
       {.Attempt = {1, 2}, .Remaining = 5s, .Service = ServiceName("stock")});
   agent.Controller.onExecute(Now, Entry + 1, request(3, "a"));
   agent.take<StartGeneration>();
-  agent.Controller.onEntryGone(Now, Entry);
+  agent.Controller.onEntryDisconnected(Now, Entry);
   const auto cancelled = agent.take<CancelWork>();
   REQUIRE(cancelled.size() == 1);
   CHECK(cancelled[0].Attempt == AttemptId{1, 1});
@@ -299,7 +301,7 @@
   next.FirstEventWithin = 440ms;
   agent.Controller.onExecute(Now, Entry, next);
   REQUIRE(agent.refusal());
-  CHECK(agent.refusal()->ComeBack == 450ms);
+  CHECK(agent.refusal()->RetryAfter == 450ms);
   next.FirstEventWithin = 450ms;
   next.Attempt = {1, 2};
   agent.Controller.onExecute(Now, Entry, next);
@@ -321,7 +323,7 @@
   const auto refused = agent.refusal();
   REQUIRE(refused);
   CHECK(refused->Reason == RefusalReason::Busy);
-  CHECK(refused->ComeBack == 1250ms);
+  CHECK(refused->RetryAfter == 1250ms);
   next.Attempt = {1, 4};
   next.FirstEventWithin = 1500ms;
   agent.Controller.onExecute(Now, Entry, next);
@@ -331,7 +333,7 @@
   agent.Controller.onExecute(Now, Entry, next);
   REQUIRE(agent.refusal());
   CHECK(agent.refusal()->Attempt == AttemptId{1, 5});
-  CHECK(agent.refusal()->ComeBack == 2250ms);
+  CHECK(agent.refusal()->RetryAfter == 2250ms);
 }
 
 // A popular adapter fills the batches of the engines that hold it while other
@@ -350,7 +352,7 @@
   agent.Controller.onExecute(Now, Entry, next);
   REQUIRE(agent.refusal());
   CHECK(agent.refusal()->Reason == RefusalReason::Busy);
-  CHECK(agent.refusal()->ComeBack == 1s);
+  CHECK(agent.refusal()->RetryAfter == 1s);
 }
 
 TEST_CASE(
@@ -360,7 +362,7 @@
                .BaseModel = "base",
                .Slots = 1,
                .BatchCapacity = 2,
-               .CompanyShare = 0});
+               .BatchingShare = 0});
   agent.Controller.onExecute(Now, Entry, request(1, "held"));
   agent.load(Now, "held");
   // Both wait for the only slot. The first one is late in any case, and its
@@ -415,7 +417,7 @@
     ExecuteRequest it = request(n, "a", 4s);
     it.Delegated = true;
     it.FirstEventWithin = 700ms;
-    agent.Controller.onHeard(now, Entry);
+    agent.Controller.onReceived(now, Entry);
     agent.Controller.onExecute(now, Entry, it);
   };
   sendRequest(Now, 1);
@@ -425,7 +427,7 @@
     sendRequest(Now + 1s, 2);
     REQUIRE(agent.refusal());
     CHECK(agent.refusal()->Reason == RefusalReason::Busy);
-    CHECK(agent.refusal()->ComeBack >= 1s);
+    CHECK(agent.refusal()->RetryAfter >= 1s);
   }
   SECTION("admitted if the earlier request has begun") {
     agent.Controller.onBegan(Now + 300ms, {.Attempt = {1, 1}});
@@ -437,7 +439,7 @@
     ExecuteRequest it = request(2, "a", 4s);
     it.Delegated = true;
     it.FirstEventWithin = 700ms;
-    agent.Controller.onHeard(Now + 1s, Other);
+    agent.Controller.onReceived(Now + 1s, Other);
     agent.Controller.onExecute(Now + 1s, Other, it);
     CHECK(agent.take<StartGeneration>().size() == 1);
   }
@@ -462,7 +464,7 @@
                 .BaseModel = "base",
                 .Slots = 2,
                 .BatchCapacity = 64,
-                .CompanyShare = 0});
+                .BatchingShare = 0});
 }
 
 constexpr RateLimit OnePerSecond{.Named = true, .PerThousandSeconds = 1000};
@@ -492,10 +494,10 @@
   agent.Controller.onExecute(Now, Entry, bounded);
   REQUIRE(agent.refusal());
   CHECK(agent.refusal()->Reason == RefusalReason::Busy);
-  CHECK(agent.refusal()->ComeBack >= 1s);
+  CHECK(agent.refusal()->RetryAfter >= 1s);
   agent.Controller.onExecute(Now, Entry, request(2, "a", 2s));
   CHECK(agent.refusal()->Reason == RefusalReason::RateLimited);
-  CHECK(agent.refusal()->ComeBack >= 900ms);
+  CHECK(agent.refusal()->RetryAfter >= 900ms);
 }
 
 TEST_CASE("a lower rate limit refuses the waiting requests that can no longer "
--- a/test/AllotmentTest.cpp
+++ b/test/AllotmentTest.cpp
@@ -135,7 +135,7 @@
     for (; entry.Callers > 0; --entry.Callers)
       takeRequest(now, entry);
     settle(now, entry);
-    if (entry.Leases->unanswered(now))
+    if (entry.Leases->hasOverdueQuery(now))
       entry.Leases->onLinkLost();
     if (const auto report = entry.Leases->takeReport(now)) {
       ++Result.Messages;
@@ -316,8 +316,8 @@
 } // namespace
 
 TEST_CASE("no window exceeds the allotment under any failure") {
-  const LeasesByUse byUse;
-  const ExactLeases exact;
+  const UsageBasedLeases byUse;
+  const OnDemandLeases exact;
   const auto seed = static_cast<std::uint64_t>(GENERATE(range(1, 101)));
   FleetOptions options{.Entries = 6 + seed % 5, .Load = 4, .Seed = seed};
   options.NotRunShare = 0.1;
@@ -333,7 +333,7 @@
 
 TEST_CASE("no window exceeds the allotment in 10,000 random schedules",
           "[.][long]") {
-  const LeasesByUse byUse;
+  const UsageBasedLeases byUse;
   for (std::uint64_t seed = 1000; seed < 11'000; ++seed) {
     FleetOptions options{.Entries = 3 + seed % 12, .Load = 6, .Seed = seed};
     options.NotRunShare = 0.1;
@@ -347,8 +347,8 @@
 }
 
 TEST_CASE("an account below its limit is never refused while nothing fails") {
-  const LeasesByUse byUse;
-  const ExactLeases exact;
+  const UsageBasedLeases byUse;
+  const OnDemandLeases exact;
   const auto seed = static_cast<std::uint64_t>(GENERATE(range(1, 9)));
   const double rate = GENERATE(29'000, 268'000);
   const bool inAdvance = GENERATE(true, false);
@@ -364,7 +364,7 @@
 }
 
 TEST_CASE("an account at 8 times its usual load gets its full allotment") {
-  const LeasesByUse byUse;
+  const UsageBasedLeases byUse;
   FleetOptions options{.Load = 4.4};
   Fleet fleet(options, byUse);
   runWithoutFaults(fleet, 60s);
@@ -374,7 +374,7 @@
 }
 
 TEST_CASE("a reduced limit takes full effect one window after it is known") {
-  const LeasesByUse byUse;
+  const UsageBasedLeases byUse;
   FleetOptions options{.Load = 4};
   Fleet fleet(options, byUse);
   runWithoutFaults(fleet, 20s);
@@ -394,7 +394,7 @@
 }
 
 TEST_CASE("a request larger than the burst waits for a full bucket") {
-  const LeasesByUse byUse;
+  const UsageBasedLeases byUse;
   AllotmentLedger ledger({.Window = 8s}, byUse);
   ClientAccount account{.Name = AccountName("shop"),
                         .Limit = {.PerSecond = 100, .Burst = 100}};
@@ -407,10 +407,10 @@
                    .Uses = {{.Account = account.Name, .Needs = {150}}}})
         .Grants.front();
   };
-  CHECK(askAt(500ms).Met == 0);
-  CHECK(askAt(500ms).ComeBack >= 500ms);
-  CHECK(askAt(1100ms).Met == 1);
-  CHECK(askAt(1200ms).Met == 0);
+  CHECK(askAt(500ms).NeedsMet == 0);
+  CHECK(askAt(500ms).RetryAfter >= 500ms);
+  CHECK(askAt(1100ms).NeedsMet == 1);
+  CHECK(askAt(1200ms).NeedsMet == 0);
 }
 
 TEST_CASE("a process that was suspended for a lease holds no units") {
@@ -420,18 +420,19 @@
   AllotmentCharge first = leases.take(Start, 1, account, 1);
   const auto report = leases.takeReport(Start);
   REQUIRE(report);
-  const AllotmentGrants grants{
-      .Nonce = report->Nonce,
-      .Ledger = 1,
-      .Lease = 4s,
-      .Grants = {
-          {.Account = account.Name, .Decided = true, .Met = 1, .Units = 10}}};
+  const AllotmentGrants grants{.Nonce = report->Nonce,
+                               .Ledger = 1,
+                               .Lease = 4s,
+                               .Grants = {{.Account = account.Name,
+                                           .Decided = true,
+                                           .NeedsMet = 1,
+                                           .Units = 10}}};
   SECTION("the answer arrives before the lease ends") {
     REQUIRE(leases.onGrants(Start + 3ms, grants).size() == 1);
     CHECK(leases.take(Start + 1s, 2, account, 1).Now ==
           AllotmentCharge::State::Reserved);
     CHECK(leases.take(Start + 4s, 3, account, 1).Now ==
-          AllotmentCharge::State::Asked);
+          AllotmentCharge::State::Pending);
   }
   SECTION("the answer is read only after the lease has ended") {
     CHECK(leases.onGrants(Start + 5s, grants).empty());
@@ -444,7 +445,7 @@
 TEST_CASE(
     "the ledger grants all units to an account that is unlimited or no longer "
     "known") {
-  const LeasesByUse byUse;
+  const UsageBasedLeases byUse;
   AllotmentLedger ledger({}, byUse);
   ledger.begin(Start, 1, true);
   const AllotmentReport report{
@@ -453,7 +454,7 @@
   CHECK_FALSE(ledger.onReport(Start, report).Grants.front().Decided);
   ledger.setAccounts(Start, AccountTable({{.Name = AccountName("a")}}));
   const AllotmentGrants grants = ledger.onReport(Start, report);
-  CHECK(grants.Grants.front().Met == 2);
+  CHECK(grants.Grants.front().NeedsMet == 2);
   const auto status = ledger.status(Start, 10);
   REQUIRE(status.size() == 1);
   CHECK(status.front().PerSecond == 0);
@@ -463,8 +464,8 @@
 // Measures the figures in docs/design/shifted.md; run by hand.
 TEST_CASE("lease sizing strategies compared at two fleet sizes",
           "[.][figures]") {
-  const LeasesByUse byUse;
-  const ExactLeases exact;
+  const UsageBasedLeases byUse;
+  const OnDemandLeases exact;
   const std::size_t entries = GENERATE(28, 410);
   const double rate = GENERATE(29'000, 268'000, 5'000'000);
   const double load = GENERATE(0.55, 4.4);
--- a/test/ApiTest.cpp
+++ b/test/ApiTest.cpp
@@ -52,7 +52,7 @@
                            .Message = "a \"quoted\" reason",
                            .NotRun = true,
                            .Reason = "load_backlog",
-                           .ComeBack = 2100ms};
+                           .RetryAfter = 2100ms};
   const std::string json = encodeConnectError(error);
   CHECK(json.find("\"code\":\"unavailable\"") != std::string::npos);
   CHECK(json.find("\\\"quoted\\\"") != std::string::npos);
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -34,7 +34,7 @@
                   .Complete = true,
                   .Members = {server("near", "z1", "1.0.0.1:80"),
                               server("far", "z2", "1.0.0.2:80")}});
-  set.onEntries(Now, entries);
+  set.onEntryCount(Now, entries);
   return set;
 }
 
@@ -45,7 +45,7 @@
     const ServerView *it = set.choose(now, Book, {}, {});
     if (!it)
       return n;
-    set.noteSent(it->Record.process());
+    set.recordSent(it->Record.process());
   }
   return Many;
 }
@@ -68,9 +68,9 @@
                  const ContentHash &) override {
     Asked.push_back(key);
   }
-  void onCallerGone(CallerKey) override {}
-  HeadVerdict onHead(const AttemptId &, ResponseHead) override {
-    return HeadVerdict::Take;
+  void onCallerDisconnected(CallerKey) override {}
+  HeadDecision onHead(const AttemptId &, ResponseHead) override {
+    return HeadDecision::Take;
   }
   void onBody(const AttemptId &, std::string_view) override {}
   void onEnd(const AttemptId &, UpstreamEnding ending) override {
@@ -126,11 +126,11 @@
     CHECK(part * entries <= Cap);
     CHECK(part >= 1);
   }
-  CHECK(share.part(Now, 0, 4, Options) == ConnectionPart());
+  CHECK(share.part(Now, 0, 4, Options) == ConnectionLimits());
 }
 
 TEST_CASE("entries whose share is below one connection keep none idle") {
-  const ConnectionPart part = ConnectionShare().part(Now, Cap, 400, Options);
+  const ConnectionLimits part = ConnectionShare().part(Now, Cap, 400, Options);
   CHECK(part.Open == Options.MinOpen);
   CHECK(part.Kept == 0);
 }
@@ -138,11 +138,11 @@
 TEST_CASE("a rejected connection reduces the entry's share for a while") {
   ConnectionShare share;
   const std::uint32_t full = share.part(Now, Cap, 4, Options).Open;
-  share.noteTurnedAway(Now, Options);
+  share.recordRejection(Now, Options);
   const std::uint32_t cut = share.part(Now, Cap, 4, Options).Open;
   CHECK(cut == full / 2);
   // Connections that are rejected together reduce the share only once.
-  share.noteTurnedAway(Now + 1ms, Options);
+  share.recordRejection(Now + 1ms, Options);
   CHECK(share.part(Now + 1ms, Cap, 4, Options).Open == cut);
   CHECK(share.part(Now + Options.RecoveryTime / 2, Cap, 4, Options).Open > cut);
   CHECK(share.part(Now + Options.RecoveryTime, Cap, 4, Options).Open == full);
@@ -174,12 +174,12 @@
       set.connections(Now, *set.find(HostName("near"))).Open;
   CHECK(admitted(set, Now) == 2 * part);
   SECTION("a server that has answered a request gets another one") {
-    set.noteEnded(Now, {HostName("far")}, ServerOutcome::Answered);
+    set.recordOutcome(Now, {HostName("far")}, ServerOutcome::Answered);
     CHECK(set.choose(Now, Book, {}, {})->Record.Host == HostName("far"));
   }
   SECTION("the shares of entries that have exited go to the others") {
-    set.onEntries(Now, 2);
-    set.onEntries(Now + 6s, 2);
+    set.onEntryCount(Now, 2);
+    set.onEntryCount(Now + 6s, 2);
     CHECK(admitted(set, Now + 6s) > 0);
   }
 }
@@ -188,7 +188,7 @@
   ServerSet set = serversAmong(4);
   const std::uint32_t part =
       set.connections(Now, *set.find(HostName("near"))).Open;
-  set.noteTurnedAway(Now, {HostName("near")});
+  set.recordRejection(Now, {HostName("near")});
   CHECK(admitted(set, Now) == part + part / 2);
 }
 
@@ -264,15 +264,17 @@
   HostPort nobody = PoolUnderTest::ownAddress();
   ++nobody.Port;
   const auto probeAt = [&](const HostPort &at) {
-    std::optional<ServerLife> life;
-    probe.start(at.Ip + ":" + std::to_string(at.Port), [&](ServerLife found) {
-      life = found;
-      it.Loop.stop();
-    });
+    std::optional<ServerCheckResult> life;
+    probe.start(at.Ip + ":" + std::to_string(at.Port),
+                [&](ServerCheckResult found) {
+                  life = found;
+                  it.Loop.stop();
+                });
     CHECK_FALSE(life); // The callback is never run inside start().
     it.Loop.run();
     return life;
   };
-  CHECK(probeAt(PoolUnderTest::ownAddress()) == ServerLife::Lives);
-  CHECK(probeAt(nobody) == ServerLife::Ended);
+  CHECK(probeAt(PoolUnderTest::ownAddress()) ==
+        ServerCheckResult::StillRunning);
+  CHECK(probeAt(nobody) == ServerCheckResult::Exited);
 }
--- a/test/ConsensusTest.cpp
+++ b/test/ConsensusTest.cpp
@@ -34,7 +34,8 @@
   REQUIRE(log.role() == LogRole::Candidate);
   const Term next = log.term() + 1;
   log.onMessage(
-      now, 0, VoteReply{2, log.term(), next, /*Granted=*/true, /*Probe=*/true});
+      now, 0,
+      VoteReply{2, log.term(), next, /*Granted=*/true, /*PreVote=*/true});
   log.onMessage(now, 0, VoteReply{2, next, next, true, false});
   REQUIRE(log.role() == LogRole::Leader);
 }
@@ -240,8 +241,8 @@
           .VoterTerm = term,
           .CandidateTerm = asked,
           .Granted = false,
-          .Probe = true,
-          .OnlyJustStarted = justStarted};
+          .PreVote = true,
+          .DeniedByRecentStart = justStarted};
 }
 
 } // namespace
@@ -253,14 +254,14 @@
   const TimePoint now = Start + 200ms;
   log.tick(now, 0);
   REQUIRE(log.role() == LogRole::Candidate);
-  REQUIRE(sent<VoteRequest>(log).at(0).Probe);
+  REQUIRE(sent<VoteRequest>(log).at(0).PreVote);
   log.onMessage(now, 0, deniedPreVote(2, 4, 5, true));
   CHECK(sent<VoteRequest>(log).empty()); // Replica 3 may be the leader.
   SECTION("no voter knows a leader") {
     log.onMessage(now, 0, deniedPreVote(3, 4, 5, true));
     const auto asked = sent<VoteRequest>(log);
     REQUIRE(asked.size() == 2);
-    CHECK(asked[0].NobodyLeads);
+    CHECK(asked[0].NoLeaderKnown);
     CHECK(asked[0].CandidateTerm == 5);
     log.onMessage(now, 0, VoteReply{2, 5, 5, true, false});
     CHECK(log.role() == LogRole::Leader);
@@ -291,18 +292,18 @@
                           .CandidateTerm = 5,
                           .LastIndex = 1,
                           .LastTerm = 1,
-                          .Probe = true};
+                          .PreVote = true};
   log.onMessage(now, 0, probe);
-  CHECK(sent<VoteReply>(log).at(0).OnlyJustStarted);
+  CHECK(sent<VoteReply>(log).at(0).DeniedByRecentStart);
   VoteRequest behind = probe;
   behind.LastIndex = 0;
   log.onMessage(now, 0, behind);
-  CHECK_FALSE(sent<VoteReply>(log).at(0).OnlyJustStarted);
+  CHECK_FALSE(sent<VoteReply>(log).at(0).DeniedByRecentStart);
   VoteRequest vote = probe;
-  vote.Probe = false;
+  vote.PreVote = false;
   log.onMessage(now, 0, vote);
   CHECK_FALSE(sent<VoteReply>(log).at(0).Granted);
-  vote.NobodyLeads = true;
+  vote.NoLeaderKnown = true;
   SECTION("it votes when the request says that there is no leader") {
     log.onMessage(now, 0, vote);
     CHECK(sent<VoteReply>(log).at(0).Granted);
@@ -311,7 +312,7 @@
     log.onMessage(now, 0, AppendRequest{.From = 3, .LeaderTerm = 4});
     sent<AppendReply>(log);
     log.onMessage(now + 50ms, 0, probe);
-    CHECK_FALSE(sent<VoteReply>(log).at(0).OnlyJustStarted);
+    CHECK_FALSE(sent<VoteReply>(log).at(0).DeniedByRecentStart);
     log.onMessage(now + 50ms, 0, vote);
     CHECK_FALSE(sent<VoteReply>(log).at(0).Granted);
   }
--- a/test/EntryTest.cpp
+++ b/test/EntryTest.cpp
@@ -29,7 +29,9 @@
     return Evacuated.contains(zone);
   }
   bool isConfirmed(TimePoint) const override { return Confirmed; }
-  std::optional<Duration> confirmedAge(TimePoint) const override { return Age; }
+  std::optional<Duration> confirmationAge(TimePoint) const override {
+    return Age;
+  }
 
   KindRecord Kind{.Name = KindName("usual"), .Window = 30s, .CallerLimit = 3};
   std::set<ZoneName> Evacuated;
@@ -120,7 +122,7 @@
   const FinalAnswer answer = entry.final();
   CHECK(answer.Kind == FinalKind::Refused);
   CHECK(answer.Reason == RefusalReason::Isolated);
-  CHECK(answer.ComeBack > 0s);
+  CHECK(answer.RetryAfter > 0s);
 }
 
 TEST_CASE("the limit of a caller bounds its requests in progress and frees up "
@@ -129,7 +131,7 @@
   for (RequestKey key = 1; key <= 4; ++key)
     entry.generate(key);
   CHECK(entry.final().Reason == RefusalReason::CallerLimit);
-  entry.Controller.onCallerGone(Now, 1);
+  entry.Controller.onCallerDisconnected(Now, 1);
   entry.generate(5);
   CHECK(entry.sent().second.Request == RequestId("r"));
 }
@@ -168,7 +170,7 @@
   entry.Controller.onLinkLost(Now, host, true);
   const auto [other, again] = entry.sent();
   CHECK(other != host);
-  CHECK(again.Resumed == "four ");
+  CHECK(again.ResumeText == "four ");
   CHECK(again.MaxTokens == 6);
   // Late messages of the first attempt are ignored.
   entry.Controller.onChunk(Now, host, {execute.Attempt, 4, 1, "late"});
@@ -277,9 +279,9 @@
   entry.Controller.onRefused(Now, host,
                              {.Attempt = execute.Attempt,
                               .Reason = RefusalReason::LoadBacklog,
-                              .ComeBack = 3s});
+                              .RetryAfter = 3s});
   CHECK(entry.take<SendToAgent>().empty());
-  CHECK(entry.Finals.at(0).ComeBack == 3s);
+  CHECK(entry.Finals.at(0).RetryAfter == 3s);
 }
 
 TEST_CASE("removing a host from the rendezvous order moves few adapters") {
--- a/test/EvacuationTest.cpp
+++ b/test/EvacuationTest.cpp
@@ -30,42 +30,47 @@
 TEST_CASE("an order is new, in force, or possibly a late resend",
           "[evacuation-order]") {
   EvacuationOrders orders(ResendWindow);
-  orders.lead(Now, 1);
+  orders.startLeading(Now, 1);
   const Configuration none;
-  CHECK(orders.judge(Now, none, Zone, true) == EvacuationVerdict::New);
-  CHECK(orders.judge(Now, none, Zone, false) == EvacuationVerdict::InForce);
-  orders.noteProposed(Zone);
-  CHECK(orders.judge(Now, none, Zone, true) == EvacuationVerdict::MaybeLate);
-  CHECK(orders.judge(Now, none, Zone, false) == EvacuationVerdict::MaybeLate);
+  CHECK(orders.evaluate(Now, none, Zone, true) == EvacuationDecision::New);
+  CHECK(orders.evaluate(Now, none, Zone, false) == EvacuationDecision::InForce);
+  orders.recordProposed(Zone);
+  CHECK(orders.evaluate(Now, none, Zone, true) ==
+        EvacuationDecision::PossiblyStale);
+  CHECK(orders.evaluate(Now, none, Zone, false) ==
+        EvacuationDecision::PossiblyStale);
   // If this isn't recorded, the zone takes no further orders.
-  orders.noteNotProposed(Zone);
-  CHECK(orders.judge(Now, none, Zone, true) == EvacuationVerdict::New);
-  orders.noteProposed(Zone);
-  orders.noteTaken(Now, Zone, true);
+  orders.recordProposalFailed(Zone);
+  CHECK(orders.evaluate(Now, none, Zone, true) == EvacuationDecision::New);
+  orders.recordProposed(Zone);
+  orders.recordAcknowledged(Now, Zone, true);
   const Configuration away = withZone(true);
-  CHECK(orders.judge(Now, away, Zone, true) == EvacuationVerdict::InForce);
+  CHECK(orders.evaluate(Now, away, Zone, true) == EvacuationDecision::InForce);
   // A former leader may have acknowledged an opposite order that changed
   // nothing.
-  CHECK(orders.judge(Now, away, Zone, false) == EvacuationVerdict::MaybeLate);
-  CHECK(orders.judge(Now + ResendWindow, away, Zone, false) ==
-        EvacuationVerdict::New);
+  CHECK(orders.evaluate(Now, away, Zone, false) ==
+        EvacuationDecision::PossiblyStale);
+  CHECK(orders.evaluate(Now + ResendWindow, away, Zone, false) ==
+        EvacuationDecision::New);
 }
 
 TEST_CASE("the resend time counts from the last acknowledgement",
           "[evacuation-order]") {
   EvacuationOrders orders(ResendWindow);
-  orders.lead(Now, 1);
-  orders.noteTaken(Now + 10s, Zone, true);
+  orders.startLeading(Now, 1);
+  orders.recordAcknowledged(Now + 10s, Zone, true);
   const Configuration back = withZone(false);
-  CHECK(orders.judge(Now + 15s, back, Zone, true) ==
-        EvacuationVerdict::MaybeLate);
-  CHECK(orders.judge(Now + 16s, back, Zone, true) == EvacuationVerdict::New);
+  CHECK(orders.evaluate(Now + 15s, back, Zone, true) ==
+        EvacuationDecision::PossiblyStale);
+  CHECK(orders.evaluate(Now + 16s, back, Zone, true) ==
+        EvacuationDecision::New);
   // A new leader knows only that earlier orders were acknowledged before its
   // term.
-  orders.lead(Now + 20s, 2);
-  CHECK(orders.judge(Now + 25s, back, Zone, true) ==
-        EvacuationVerdict::MaybeLate);
-  CHECK(orders.judge(Now + 26s, back, Zone, true) == EvacuationVerdict::New);
+  orders.startLeading(Now + 20s, 2);
+  CHECK(orders.evaluate(Now + 25s, back, Zone, true) ==
+        EvacuationDecision::PossiblyStale);
+  CHECK(orders.evaluate(Now + 26s, back, Zone, true) ==
+        EvacuationDecision::New);
 }
 
 TEST_CASE("evacuations are part of the state and of its snapshot",
@@ -155,7 +160,7 @@
           "[pacer]") {
   RequestPacer pacer;
   CHECK_FALSE(pacer.applyCold(Now, {}));
-  CHECK_FALSE(pacer.paces(Now));
+  CHECK_FALSE(pacer.isPacing(Now));
   CHECK(pacer.applyCold(Now, {.PerThousandSeconds = 2000, .Left = 3s}));
   CHECK_FALSE(pacer.take(Now));
   CHECK(pacer.interval(Now) == 500ms);
@@ -173,8 +178,8 @@
   pacer.apply(Now, {.Named = true, .PerThousandSeconds = 500});
   pacer.reset();
   CHECK_FALSE(pacer.isLimited());
-  CHECK(pacer.paces(Now + 2s));
-  CHECK_FALSE(pacer.paces(Now + 3s));
+  CHECK(pacer.isPacing(Now + 2s));
+  CHECK_FALSE(pacer.isPacing(Now + 3s));
 }
 
 TEST_CASE("the lower one of a rate limit and a cold server's rate applies",
@@ -220,7 +225,7 @@
   CHECK(answer({{cold, "1500"}}).ColdFor == 1500ms);
   for (const char *it : {"-1", "nan", "1e9", ""}) {
     CHECK_FALSE(answer({{cold, it}}).ColdFor);
-    CHECK(answer({{cold, it}}).Unreadable == cold);
+    CHECK(answer({{cold, it}}).MalformedHeader == cold);
   }
   CHECK_FALSE(answer({{cold, "1"}, {cold, "1"}}).ColdFor);
   const RoutingDocument document = platform::ManifestReader().decode(
@@ -238,6 +243,6 @@
   CHECK(document.Accounts.at(0).Regions ==
         std::vector<RegionName>{RegionName("south")});
   CHECK(document.Services.at(0).ColdTime == 3s);
-  CHECK(document.Services.at(0).coldFor(2s) == ColdStart{7100, 2s});
-  CHECK_FALSE(ServiceSpec{}.coldFor(2s).isCold());
+  CHECK(document.Services.at(0).coldStartFor(2s) == ColdStart{7100, 2s});
+  CHECK_FALSE(ServiceSpec{}.coldStartFor(2s).isCold());
 }
--- a/test/ForwardTest.cpp
+++ b/test/ForwardTest.cpp
@@ -13,9 +13,9 @@
   it.head(sent, 201, {{"id", "r1"}, {"stamp", "s"}, {"Connection", "close"}});
   it.body(sent, "ab");
   it.body(sent, "cd");
-  CHECK(it.take<ReplyWhole>().empty());
+  CHECK(it.take<ReplyComplete>().empty());
   it.end(sent, Whole);
-  const auto reply = it.only<ReplyWhole>();
+  const auto reply = it.only<ReplyComplete>();
   CHECK(reply.Head.Status == 201);
   CHECK(reply.Body == "abcd");
   CHECK(*findHeader(reply.Head.Headers, "stamp") == "s");
@@ -28,10 +28,10 @@
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
   CHECK(it.head(sent, 200, {{"id", "r0"}, {"stamp", "s"}}) ==
-        HeadVerdict::Skip);
-  CHECK(it.head(sent, 200) == HeadVerdict::Take);
+        HeadDecision::Skip);
+  CHECK(it.head(sent, 200) == HeadDecision::Take);
   it.end(sent, Whole);
-  CHECK(it.only<ReplyWhole>().Head.Status == 200);
+  CHECK(it.only<ReplyComplete>().Head.Status == 200);
 }
 
 TEST_CASE("a non-idempotent request is never sent to a second server") {
@@ -43,28 +43,28 @@
     it.head(sent, 200);
     it.body(sent, "half");
     it.end(sent, Broke);
-    CHECK(it.only<ReplyWhole>().Head.Status == 502);
+    CHECK(it.only<ReplyComplete>().Head.Status == 502);
   }
   SECTION("the server ran it and failed") {
     it.request("once");
     const auto sent = it.only<SendUpstream>();
     it.head(sent, 500);
     it.end(sent, Whole);
-    CHECK(it.only<ReplyWhole>().Head.Status == 500);
+    CHECK(it.only<ReplyComplete>().Head.Status == 500);
   }
   SECTION("an answer without the server's stamp is invalid") {
     it.request("once");
     const auto sent = it.only<SendUpstream>();
     it.head(sent, 200, {{"id", "r1"}});
     CHECK(it.take<CancelUpstream>().size() == 1);
-    CHECK(it.only<ReplyWhole>().Head.Status == 502);
+    CHECK(it.only<ReplyComplete>().Head.Status == 502);
   }
   SECTION("the deadline passed while a server had it") {
     it.request("once", 1000);
     it.only<SendUpstream>();
     it.Controller.tick(Now + 1s);
     CHECK(it.take<CancelUpstream>().size() == 1);
-    CHECK(it.only<ReplyWhole>().Head.Status == 504);
+    CHECK(it.only<ReplyComplete>().Head.Status == 504);
   }
   CHECK(it.take<SendUpstream>().empty());
 }
@@ -76,7 +76,7 @@
   const auto sent = it.only<SendUpstream>();
   it.head(sent, 503, {{"id", "r1"}, {"not-run", "1"}});
   CHECK(it.take<IgnoreUpstream>().size() == 1);
-  const auto reply = it.only<ReplyWhole>();
+  const auto reply = it.only<ReplyComplete>();
   CHECK(reply.Head.Status == 503);
   CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) > 0);
 }
@@ -85,7 +85,7 @@
   ForwardUnderTest it(/*withTable=*/false);
   it.request("safe");
   it.Controller.tick(Now + 500ms);
-  CHECK(it.take<ReplyWhole>().empty());
+  CHECK(it.take<ReplyComplete>().empty());
   SECTION("and is sent once the document is in force") {
     it.setTable();
     it.Controller.tick(Now + 510ms);
@@ -93,15 +93,15 @@
   }
   SECTION("but for at most a third of its caller's timeout") {
     it.Controller.tick(Now + 1600ms);
-    CHECK(it.take<ReplyWhole>().empty());
+    CHECK(it.take<ReplyComplete>().empty());
     it.Controller.tick(Now + 1700ms);
-    const auto reply = it.only<ReplyWhole>();
+    const auto reply = it.only<ReplyComplete>();
     CHECK(reply.Head.Status == 503);
     CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) > 0);
     CHECK(it.Controller.idle());
   }
   SECTION("until its caller closes the connection") {
-    it.Controller.onCallerGone(Now + 500ms, 1);
+    it.Controller.onCallerDisconnected(Now + 500ms, 1);
     it.setTable();
     it.Controller.tick(Now + 600ms);
     CHECK(it.take<SendUpstream>().empty());
@@ -117,7 +117,7 @@
                 {.Host = HostName("p1"), .Gone = true, .Registered = true},
                 {.Host = HostName("p2"), .Gone = true, .Registered = true}}});
   it.request("safe");
-  CHECK(it.take<ReplyWhole>().empty());
+  CHECK(it.take<ReplyComplete>().empty());
   it.Controller.onMembers(Now,
                           {.Members = {server("p3", "plain", "1.0.0.9:80")}});
   it.Controller.tick(Now + 200ms);
@@ -129,7 +129,7 @@
   it.request("flow");
   it.refuse(Now, RefusalReason::BackendDown);
   it.refuse(Now, RefusalReason::BackendDown);
-  CHECK(it.take<ReplyWhole>().empty());
+  CHECK(it.take<ReplyComplete>().empty());
   it.Controller.tick(Now + 50ms);
   CHECK(it.take<SendToAgent>().empty());
   it.Controller.tick(Now + 300ms);
@@ -141,7 +141,7 @@
   it.request("flow");
   it.refuse(Now, RefusalReason::BackendDown);
   it.refuse(Now, RefusalReason::QueueFull);
-  CHECK(it.only<ReplyWhole>().Head.Status == 503);
+  CHECK(it.only<ReplyComplete>().Head.Status == 503);
 }
 
 TEST_CASE("a failed connection doesn't count as a send") {
@@ -153,7 +153,7 @@
   CHECK(first.Address != second.Address);
   it.head(second, 200);
   it.end(second, Whole);
-  CHECK(it.only<ReplyWhole>().Head.Status == 200);
+  CHECK(it.only<ReplyComplete>().Head.Status == 200);
 }
 
 TEST_CASE("an idempotent request goes to a second server, but not to a third") {
@@ -166,12 +166,12 @@
   SECTION("that answers") {
     it.head(second, 200);
     it.end(second, Whole);
-    CHECK(it.only<ReplyWhole>().Head.Status == 200);
+    CHECK(it.only<ReplyComplete>().Head.Status == 200);
   }
   SECTION("that fails, too") {
     it.head(second, 500);
     it.end(second, Whole);
-    CHECK(it.only<ReplyWhole>().Head.Status == 500);
+    CHECK(it.only<ReplyComplete>().Head.Status == 500);
   }
   CHECK(it.take<SendUpstream>().empty());
 }
@@ -190,7 +190,7 @@
     const auto &last = second.empty() ? sent : second.front();
     it.head(last, 500);
     it.end(last, Whole);
-    CHECK(it.take<ReplyWhole>().size() == 1);
+    CHECK(it.take<ReplyComplete>().size() == 1);
   }
   CHECK(again >= Requests / 10);
   CHECK(again <= Requests * 15 / 100 + 4);
@@ -220,13 +220,13 @@
   SECTION("while a server has it") {
     it.request("safe");
     const auto sent = it.only<SendUpstream>();
-    it.Controller.onCallerGone(Now, 1);
+    it.Controller.onCallerDisconnected(Now, 1);
     CHECK(it.only<CancelUpstream>().Attempt == sent.Attempt);
   }
   SECTION("while an agent is asked for a permit") {
     it.request("flow");
     it.only<SendToAgent>();
-    it.Controller.onCallerGone(Now, 1);
+    it.Controller.onCallerDisconnected(Now, 1);
     CHECK(
         std::holds_alternative<CancelAttempt>(it.only<SendToAgent>().Content));
   }
@@ -301,18 +301,18 @@
   ForwardUnderTest it;
   SECTION("an unknown route") {
     it.request("nothing");
-    CHECK(it.only<ReplyWhole>().Head.Status == 404);
+    CHECK(it.only<ReplyComplete>().Head.Status == 404);
   }
   SECTION("no id") {
     it.Controller.onRequest(Now, 1, {"GET", "/safe/", {{"Host", "h"}}}, "",
                             NoBody);
-    CHECK(it.only<ReplyWhole>().Head.Status == 400);
+    CHECK(it.only<ReplyComplete>().Head.Status == 400);
   }
   SECTION("no routing document, and the caller names no timeout") {
     it.Controller.setTable(nullptr);
     it.Controller.onRequest(Now, 1, {"GET", "/safe/", {{"id", "r1"}}}, "",
                             NoBody);
-    CHECK(it.only<ReplyWhole>().Head.Status == 503);
+    CHECK(it.only<ReplyComplete>().Head.Status == 503);
   }
   SECTION(
       "no routing document, and the maximum of requests is deferred already") {
@@ -322,9 +322,9 @@
       it.Controller.onRequest(
           Now, key, {"GET", "/safe/", {{"id", "r"}, {"time", "5000"}}}, "",
           NoBody);
-    CHECK(it.take<ReplyWhole>().empty());
+    CHECK(it.take<ReplyComplete>().empty());
     it.request("safe");
-    CHECK(it.only<ReplyWhole>().Head.Status == 503);
+    CHECK(it.only<ReplyComplete>().Head.Status == 503);
   }
   SECTION("all servers are leaving or gone") {
     MemberRecord leaving = server("p1", "plain", "1.0.0.1:80");
@@ -332,13 +332,13 @@
     it.Controller.onMembers(Now, {.Members = {leaving}});
     it.request("safe");
     CHECK(it.only<SendUpstream>().Address == "1.0.0.2:80");
-    it.Controller.onCallerGone(Now, 1);
+    it.Controller.onCallerDisconnected(Now, 1);
     leaving = server("p2", "plain", "1.0.0.2:80");
     leaving.Gone = true;
     it.Controller.onMembers(Now, {.Members = {leaving}});
     it.take<CancelUpstream>();
     it.request("safe");
-    CHECK(it.only<ReplyWhole>().Head.Status == 503);
+    CHECK(it.only<ReplyComplete>().Head.Status == 503);
   }
 }
 
@@ -347,11 +347,11 @@
   it.Controller.onMembers(Now, {.Full = true});
   it.request("safe");
   CHECK(it.take<SendUpstream>().size() == 1);
-  it.Controller.onCallerGone(Now, 1);
+  it.Controller.onCallerDisconnected(Now, 1);
   it.take<CancelUpstream>();
   it.Controller.onMembers(Now, {.Full = true, .Complete = true});
   it.request("safe");
-  CHECK(it.only<ReplyWhole>().Head.Status == 503);
+  CHECK(it.only<ReplyComplete>().Head.Status == 503);
 }
 
 TEST_CASE("the agent is asked for the live version of the adapter") {
@@ -421,7 +421,7 @@
       it.end(sent, Whole);
     }
     it.take<SendToAgent>();
-    it.take<ReplyWhole>();
+    it.take<ReplyComplete>();
     it.take<ReplyHead>();
     it.take<ReplyPiece>();
     it.take<ReplyEnd>();
@@ -443,15 +443,15 @@
           "is the newest") {
   ForwardUnderTest it;
   it.request("unheard-of");
-  CHECK(it.only<ReplyWhole>().Head.Status == 404);
+  CHECK(it.only<ReplyComplete>().Head.Status == 404);
 
   it.Configuration.Confirmed = false;
   it.request("unheard-of");
-  CHECK(it.take<ReplyWhole>().empty());
+  CHECK(it.take<ReplyComplete>().empty());
   SECTION("as soon as the configuration is confirmed") {
     it.Configuration.Confirmed = true;
     it.Controller.tick(Now + 200ms);
-    CHECK(it.only<ReplyWhole>().Head.Status == 404);
+    CHECK(it.only<ReplyComplete>().Head.Status == 404);
   }
   SECTION("a newer document may have the route") {
     RoutingDocument document{
@@ -465,7 +465,7 @@
   SECTION("otherwise the request is refused as not run, in time for a retry") {
     it.Controller.tick(Now + 1600ms);
     it.Controller.tick(Now + 1800ms);
-    CHECK(it.only<ReplyWhole>().Head.Status == 503);
+    CHECK(it.only<ReplyComplete>().Head.Status == 503);
   }
 }
 
--- a/test/ForwardUnderTest.h
+++ b/test/ForwardUnderTest.h
@@ -11,7 +11,7 @@
 
 constexpr TimePoint Now{100s};
 
-class NoAdapters : public ConfigurationView {
+class FakeConfiguration : public ConfigurationView {
 public:
   std::optional<AdapterRecord>
   findAdapter(const AdapterName &name) const override {
@@ -27,7 +27,9 @@
     return Evacuated.contains(zone);
   }
   bool isConfirmed(TimePoint) const override { return Confirmed; }
-  std::optional<Duration> confirmedAge(TimePoint) const override { return Age; }
+  std::optional<Duration> confirmationAge(TimePoint) const override {
+    return Age;
+  }
   VersionNumber Named = 0;
   std::set<ZoneName> Evacuated;
   bool Confirmed = true;
@@ -146,8 +148,8 @@
     Controller.attempts().onPermit(Now, asked.Host, {execute.Attempt, {}});
     return only<SendUpstream>();
   }
-  HeadVerdict head(const SendUpstream &sent, int status,
-                   HttpHeaders headers = {{"id", "r1"}, {"stamp", "s"}}) {
+  HeadDecision head(const SendUpstream &sent, int status,
+                    HttpHeaders headers = {{"id", "r1"}, {"stamp", "s"}}) {
     return Controller.answers().onHead(Now, sent.Attempt,
                                        {status, std::move(headers)});
   }
@@ -156,13 +158,13 @@
   }
   /// Ends the connection, and reports \p life when the entry checks the server.
   void end(const SendUpstream &sent, UpstreamEnding ending,
-           ServerLife life = ServerLife::Lives) {
+           ServerCheckResult life = ServerCheckResult::StillRunning) {
     Controller.answers().onEnd(Now, sent.Attempt, ending);
     for (const CheckServer &it : take<CheckServer>())
       Controller.onServerChecked(Now, it.Server, life);
   }
 
-  NoAdapters Configuration;
+  FakeConfiguration Configuration;
   PlainHeaders Headers;
   LeastLoaded Routing;
   ForwardController Controller;
--- a/test/LoadGateTest.cpp
+++ b/test/LoadGateTest.cpp
@@ -130,7 +130,7 @@
 namespace {
 
 /// An agent whose engine has just started; the test acts as the scheduler.
-struct SharedUnderTest : GateWithBoard<SharedLoads> {
+struct SharedUnderTest : GateWithBoard<HybridLoads> {
   SharedUnderTest() { Gate.onEngineReady(Now); }
   int demandsSent() {
     int n = 0;
--- a/test/LoadSchedulerTest.cpp
+++ b/test/LoadSchedulerTest.cpp
@@ -65,7 +65,7 @@
   scheduler.onDemand(Now, demand("w1", "a", 1));
   scheduler.run(Now);
   scheduler.onDemand(Now, demand("w2", "b", 1));
-  scheduler.forgetHost(HostName("w1"));
+  scheduler.removeHost(HostName("w1"));
   CHECK(scheduler.run(Now + 250ms).size() == 1);
 }
 
@@ -82,10 +82,10 @@
   TimePoint now = Now;
   for (int i = 0; i < 600; ++i) {
     now += 100s;
-    table.noteRequest(now, steady);
+    table.recordRequest(now, steady);
     const AdapterKey once{AdapterName("s" + std::to_string(i)), 1};
     for (int j = 0; j < 3; ++j)
-      table.noteRequest(now + j * 3s, once);
+      table.recordRequest(now + j * 3s, once);
   }
   CHECK(table.sessionShare() > 0.2);
   const AdapterKey last{AdapterName("s599"), 1};
@@ -96,7 +96,7 @@
 TEST_CASE("the popularity table is bounded") {
   PopularityTable table({.Capacity = 100});
   for (int i = 0; i < 1000; ++i)
-    table.noteRequest(Now, {AdapterName(std::to_string(i)), 1});
+    table.recordRequest(Now, {AdapterName(std::to_string(i)), 1});
   CHECK(table.size() <= 100);
 }
 
@@ -129,7 +129,7 @@
 std::vector<Arrival> recover(std::size_t capacity) {
   constexpr int Agents = 117;
   constexpr int Adapters = 7;
-  LoadScheduler scheduler({.Concurrent = 8, .Measured = true});
+  LoadScheduler scheduler({.Concurrent = 8, .MeasuresCapacity = true});
   StoreUnderTest store(capacity);
   std::map<AdapterKey, std::uint32_t> weights;
   std::vector<LoadDemand> demands;
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr ServerLife Ended = ServerLife::Ended;
+constexpr ServerCheckResult Exited = ServerCheckResult::Exited;
 
 /// An entry, and the questions that it asks the replicas.
 struct QuarantineEntry : ForwardUnderTest {
@@ -36,7 +36,7 @@
   void setContentState(QuarantineState state) {
     request("safe");
     updateState(state);
-    Controller.onCallerGone(Now, 1);
+    Controller.onCallerDisconnected(Now, 1);
     Controller.takeCommands();
   }
 
@@ -56,13 +56,13 @@
   CHECK(check.Address == sent.Address);
   CHECK(it.take<SendUpstream>().empty());
   const ContentHash content = it.contentOfRequest();
-  it.Controller.onServerChecked(Now, check.Server, Ended);
+  it.Controller.onServerChecked(Now, check.Server, Exited);
   const auto asked = it.take<AskReplicas>();
   REQUIRE(asked.size() == 2);
-  const auto report = std::get<ReportServerEnd>(asked[0].Question);
+  const auto report = std::get<ReportServerExit>(asked[0].Question);
   CHECK(report.Server == sent.Server);
-  CHECK(report.AtWork ==
-        std::vector<RequestAtWork>{{content, /*Answering=*/false, {}}});
+  CHECK(report.RequestsInFlight ==
+        std::vector<InFlightRequest>{{content, /*Answering=*/false, {}}});
   // The request isn't sent again before the replicas have granted a trial.
   CHECK(std::get<ClaimTrial>(asked[1].Question).Content == content);
   CHECK(it.take<SendUpstream>().empty());
@@ -76,10 +76,10 @@
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
   SECTION("the process runs, its connection was reset") {
-    it.end(sent, Broke, ServerLife::Lives);
+    it.end(sent, Broke, ServerCheckResult::StillRunning);
   }
   SECTION("no reply: a network partition, or a host without power") {
-    it.end(sent, Broke, ServerLife::Unknown);
+    it.end(sent, Broke, ServerCheckResult::Unknown);
   }
   SECTION("the server had announced that it is leaving") {
     MemberRecord leaving =
@@ -100,8 +100,8 @@
 TEST_CASE("a server that turned a connection away is checked, too") {
   QuarantineEntry it;
   it.request("safe");
-  it.end(it.only<SendUpstream>(), UpstreamEnding::TurnedAway, Ended);
-  CHECK(it.question<ReportServerEnd>());
+  it.end(it.only<SendUpstream>(), UpstreamEnding::TurnedAway, Exited);
+  CHECK(it.question<ReportServerExit>());
 }
 
 TEST_CASE("a request that may not be repeated is answered before the server is "
@@ -111,18 +111,18 @@
   const auto sent = it.only<SendUpstream>();
   const ContentHash content = it.contentOfRequest();
   it.Controller.answers().onEnd(Now, sent.Attempt, Broke);
-  CHECK(it.only<ReplyWhole>().Head.Status == 502);
-  it.Controller.onServerChecked(Now, it.only<CheckServer>().Server, Ended);
-  const auto report = it.question<ReportServerEnd>();
+  CHECK(it.only<ReplyComplete>().Head.Status == 502);
+  it.Controller.onServerChecked(Now, it.only<CheckServer>().Server, Exited);
+  const auto report = it.question<ReportServerExit>();
   REQUIRE(report);
-  CHECK(report->AtWork.front().Content == content);
+  CHECK(report->RequestsInFlight.front().Content == content);
 }
 
 TEST_CASE("a request in quarantine gets its final answer at once") {
   QuarantineEntry it;
   it.setContentState(QuarantineState::Quarantined);
   it.request("safe");
-  const auto reply = it.only<ReplyWhole>();
+  const auto reply = it.only<ReplyComplete>();
   // It has run, under other ids: neither "not run" nor a retry-after.
   CHECK(reply.Head.Status == 502);
   CHECK_FALSE(findHeader(reply.Head.Headers, "come-back"));
@@ -155,18 +155,18 @@
   }
   SECTION("the server exits: the report releases the grant") {
     it.decide(CommandResult::Accepted);
-    it.end(it.only<SendUpstream>(), Broke, Ended);
-    CHECK(it.question<ReportServerEnd>()->AtWork.front().Holder ==
+    it.end(it.only<SendUpstream>(), Broke, Exited);
+    CHECK(it.question<ReportServerExit>()->RequestsInFlight.front().Holder ==
           AttemptId{5, 1});
   }
   SECTION("its caller leaves during the trial") {
     it.decide(CommandResult::Accepted);
     it.only<SendUpstream>();
-    it.Controller.onCallerGone(Now, 1);
+    it.Controller.onCallerDisconnected(Now, 1);
     CHECK(it.question<EndTrial>()->Ending == TrialEnding::Unclear);
   }
   SECTION("its caller leaves before the grant arrives") {
-    it.Controller.onCallerGone(Now, 1);
+    it.Controller.onCallerDisconnected(Now, 1);
     CHECK(it.question<EndTrial>()->Ending == TrialEnding::NotRun);
     it.decide(CommandResult::Accepted);
     CHECK(it.take<SendUpstream>().empty());
@@ -177,23 +177,23 @@
   }
   SECTION("it was put in quarantine in the meantime") {
     it.decide(CommandResult::Quarantined);
-    CHECK(it.only<ReplyWhole>().Head.Status == 502);
+    CHECK(it.only<ReplyComplete>().Head.Status == 502);
   }
   SECTION("another attempt is in progress for longer than the request may be "
           "deferred") {
     it.decide(CommandResult::InProgress);
-    CHECK(it.take<ReplyWhole>().empty());
+    CHECK(it.take<ReplyComplete>().empty());
     it.Controller.tick(Now + 200ms);
     REQUIRE(it.question<ClaimTrial>());
     it.decide(CommandResult::InProgress, Now + 3s);
     // This attempt has certainly not run.
-    const auto reply = it.only<ReplyWhole>();
+    const auto reply = it.only<ReplyComplete>();
     CHECK(reply.Head.Status == 503);
     CHECK(findHeader(reply.Head.Headers, "come-back"));
   }
   SECTION("the replicas don't decide in time") {
     it.Controller.onDecision(Now + 3s, it.Nonce, std::nullopt);
-    CHECK(it.only<ReplyWhole>().Head.Status == 503);
+    CHECK(it.only<ReplyComplete>().Head.Status == 503);
     CHECK(it.take<SendUpstream>().empty());
   }
 }
@@ -205,7 +205,7 @@
   it.request("safe");
   REQUIRE(it.question<ClaimTrial>());
   it.decide(CommandResult::Accepted);
-  it.end(it.only<SendUpstream>(), Broke, Ended);
+  it.end(it.only<SendUpstream>(), Broke, Exited);
   CHECK_FALSE(it.question<ClaimTrial>());
   it.Controller.tick(Now + 50ms);
   CHECK_FALSE(it.question<ClaimTrial>());
@@ -222,25 +222,25 @@
     return ContentHasher().add(text).finish();
   };
   it.Controller.onRequest(Now, 2, head, "body", hash("body"));
-  CHECK(it.only<ReplyWhole>().Body == "quarantined\n");
+  CHECK(it.only<ReplyComplete>().Body == "quarantined\n");
   CHECK(it.take<SendUpstream>().empty());
   it.Controller.onRequest(Now, 3, head, "bodz", hash("bodz"));
   CHECK(*it.only<SendUpstream>().Body == "bodz");
-  CHECK(it.take<ReplyWhole>().empty());
+  CHECK(it.take<ReplyComplete>().empty());
 }
 
 TEST_CASE(
     "an entry that was suspended updates its quarantine before it sends") {
   QuarantineEntry it;
   const TimePoint resumedAt = Now + 3s;
-  it.Controller.quarantine().onWake(Now);
+  it.Controller.quarantine().onResume(Now);
   it.request("safe");
   CHECK(it.take<SendUpstream>().empty());
   SECTION("until it knows what was decided in the meantime") {
-    it.Controller.quarantine().onKnown(Now - 1ms);
+    it.Controller.quarantine().onCaughtUp(Now - 1ms);
     it.Controller.tick(Now + 100ms);
     CHECK(it.take<SendUpstream>().empty());
-    it.Controller.quarantine().onKnown(Now);
+    it.Controller.quarantine().onCaughtUp(Now);
     it.Controller.tick(Now + 200ms);
     it.only<SendUpstream>();
   }
@@ -252,14 +252,14 @@
     it.only<SendUpstream>();
   }
   SECTION("and a permit from before the suspension is void past the deadline") {
-    it.Controller.onCallerGone(Now, 1);
-    it.Controller.quarantine().onKnown(Now);
+    it.Controller.onCallerDisconnected(Now, 1);
+    it.Controller.quarantine().onCaughtUp(Now);
     it.request("flow", 1000);
     const auto asked = it.only<SendToAgent>();
     const auto execute = std::get<ExecuteRequest>(asked.Content);
     it.Controller.attempts().onPermit(resumedAt, asked.Host,
                                       {execute.Attempt, {}});
     CHECK(it.take<SendUpstream>().empty());
-    CHECK(it.only<ReplyWhole>().Head.Status == 503);
+    CHECK(it.only<ReplyComplete>().Head.Status == 503);
   }
 }
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -21,9 +21,9 @@
   /// waiting for their first event unless \p answering.
   void end(const ServerProcess &process, std::vector<std::uint64_t> atWork,
            bool answering = false) {
-    ReportServerEnd report{process, {}};
+    ReportServerExit report{process, {}};
     for (const std::uint64_t it : atWork)
-      report.AtWork.push_back({content(it), answering, {}});
+      report.RequestsInFlight.push_back({content(it), answering, {}});
     Ledger.report(report);
   }
   CommandResult claim(std::uint64_t n, std::uint64_t by = 1) {
@@ -78,7 +78,7 @@
   LedgerUnderTest it;
   for (int i = 0; i < 4; ++i)
     it.end(server("s1"), {1});
-  CHECK(it.Ledger.find(content(1))->Ends.size() == 1);
+  CHECK(it.Ledger.find(content(1))->Exits.size() == 1);
   SECTION("the next process under its name counts separately") {
     it.end(server("s1", 2), {1});
     it.end(server("s1", 3), {1});
@@ -93,7 +93,7 @@
   it.end(known, {1});
   it.crashingTrial(1, known);
   it.crashingTrial(1, known);
-  CHECK(it.Ledger.find(content(1))->Ends.size() == 3);
+  CHECK(it.Ledger.find(content(1))->Exits.size() == 3);
   CHECK(it.claim(1) == Quarantined);
 }
 
@@ -104,7 +104,7 @@
   REQUIRE(it.claim(1) == Granted);
   it.end(server("s2"), {1});
   it.Ledger.report({server("s2"), {{content(1), false, attempt(1)}}});
-  CHECK(it.Ledger.find(content(1))->Ends.size() == 2);
+  CHECK(it.Ledger.find(content(1))->Exits.size() == 2);
 }
 
 TEST_CASE(
@@ -270,7 +270,7 @@
   StateMachine state;
   for (const char *name : {"s1", "s2", "s3"})
     state.apply(
-        0, {.Body = ReportServerEnd{server(name), {{content(1), false, {}}}}});
+        0, {.Body = ReportServerExit{server(name), {{content(1), false, {}}}}});
   const Command claim{.Body = ClaimTrial{content(1), attempt(1), 1s}};
   REQUIRE(state.apply(0, claim).Result == Quarantined);
   StateMachine copy;
--- a/test/RequestPacerTest.cpp
+++ b/test/RequestPacerTest.cpp
@@ -73,7 +73,7 @@
 TEST_CASE("the leader grants sends to a limited server at its rate",
           "[pacer]") {
   SendPermitLedger ledger;
-  ledger.lead(1);
+  ledger.startLeading(1);
   const ServerProcess server{HostName("s"), 1};
   const auto ask = [&](TimePoint now, std::uint64_t nonce) {
     return ledger.onQuery(now, {nonce, server, named(2000)});
@@ -81,17 +81,17 @@
   const SendPermitReply first = ask(Now, 1);
   CHECK_FALSE(first.Granted);
   CHECK(first.Nonce == 1);
-  CHECK(first.ComeBack == 500ms + 1us);
+  CHECK(first.RetryAfter == 500ms + 1us);
   // The second request has to wait for the first.
-  CHECK(ask(Now, 2).ComeBack == 1s + 1us);
+  CHECK(ask(Now, 2).RetryAfter == 1s + 1us);
   // Granted shortly before it may be used, so that the entry does not come
   // late.
   CHECK(ask(Now + 400ms, 3).Granted);
   CHECK_FALSE(ask(Now + 501ms, 4).Granted);
   for (std::uint64_t n = 0; n < 100; ++n)
-    CHECK(ask(Now + 501ms, 10 + n).ComeBack <= 3s);
+    CHECK(ask(Now + 501ms, 10 + n).RetryAfter <= 3s);
   // Another leader may have granted permits in between.
   CHECK(ask(Now + 10s, 200).Granted);
-  ledger.lead(3);
+  ledger.startLeading(3);
   CHECK_FALSE(ask(Now + 10s, 201).Granted);
 }
--- a/test/Schedules.h
+++ b/test/Schedules.h
@@ -12,8 +12,8 @@
 
 /// \returns the maximum number of \p times within any \p window.
 /// \pre \p times is sorted.
-inline std::size_t mostWithin(const std::vector<TimePoint> &times,
-                              Duration window) {
+inline std::size_t maxWithin(const std::vector<TimePoint> &times,
+                             Duration window) {
   std::size_t most = 0;
   for (auto first = times.begin(); first != times.end(); ++first) {
     const auto last =
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -97,7 +97,7 @@
           it.At >= told->second + ToldFor)
         counted.push_back(it.At);
     }
-    return mostWithin(counted, Window);
+    return maxWithin(counted, Window);
   }
 
   std::size_t arrivalsAt(const HostName &server, TimePoint since,
@@ -293,7 +293,7 @@
 
 std::size_t sentIntoRest(const ForwardFleet &fleet) {
   return sentAgainst(fleet, [](const FeedbackTold &word, TimePoint at) {
-    return word.Asks.Rest && at < word.At + *word.Asks.Rest;
+    return word.Asks.Backoff && at < word.At + *word.Asks.Backoff;
   });
 }
 
@@ -319,7 +319,7 @@
       const int sentBefore = it.Sent;
       const int answeredBefore = it.Answered;
       for (std::uint32_t i = 2; i < 6; ++i)
-        it.Fleet.setAsks(i, {.Rest = 3s});
+        it.Fleet.setAsks(i, {.Backoff = 3s});
       it.runFor(10s);
       for (std::uint32_t i = 2; i < 6; ++i)
         it.Fleet.setAsks(i, {});
@@ -344,7 +344,7 @@
     AskingFleet it(options, {.Adapters = 8});
     it.runFor(10s);
     for (std::uint32_t i = 0; i < 3; ++i)
-      it.Fleet.setAsks(i, {.Rest = 10s});
+      it.Fleet.setAsks(i, {.Backoff = 10s});
     it.runFor(5s);
     CHECK(sentIntoRest(it.Fleet) == 0);
     std::optional<CallerAnswer> answer;
@@ -356,7 +356,7 @@
     INFO((engines ? "engines" : "plain servers") << ", body " << answer->Body);
     CHECK(answer->Status == 503);
     CHECK(answer->EndedAt - sentAt < 20ms);
-    CHECK(answer->ComeBack >= 3s);
+    CHECK(answer->RetryAfter >= 3s);
   }
 }
 
@@ -416,7 +416,7 @@
             if (kind == "limits")
               it.Fleet.setAsks(i, {.Limit = 1.0});
             if (kind == "rests")
-              it.Fleet.setAsks(i, {.Rest = 3s});
+              it.Fleet.setAsks(i, {.Backoff = 3s});
           }
           it.runFor(15s);
           const TimePoint until = it.Fleet.now();
--- a/test/ServerFeedbackTest.cpp
+++ b/test/ServerFeedbackTest.cpp
@@ -55,7 +55,8 @@
   CHECK(it.apply(Now + 2s, {}, Now + 900ms).empty());
   CHECK(it.limit(Now + 1s) == Named);
   // A header that can't be parsed neither sets nor removes a limit.
-  CHECK(!it.apply(Now + 2s, {.Unreadable = "limit"}, Now + 1500ms).empty());
+  CHECK(
+      !it.apply(Now + 2s, {.MalformedHeader = "limit"}, Now + 1500ms).empty());
   CHECK(it.isLimited());
   // A report of another process that is older is ignored.
   CHECK(it.applyLimit(Now + 2s, {.Named = true, .Age = 1500ms}).empty());
@@ -66,12 +67,12 @@
 
 TEST_CASE("of several backoffs the one that ends last applies", "[feedback]") {
   ServerFeedback it;
-  it.apply(Now, {.Rest = 3s}, Now);
-  it.apply(Now + 100ms, {.Rest = 500ms}, Now);
-  CHECK(it.isResting(Now + 2999ms));
-  CHECK(!it.isResting(Now + 3s));
-  CHECK(ServerFeedback::boundedRest(1e30) == ServerFeedback::MaxBackoff);
-  CHECK(ServerFeedback::boundedRest(0.25) == 250ms);
+  it.apply(Now, {.Backoff = 3s}, Now);
+  it.apply(Now + 100ms, {.Backoff = 500ms}, Now);
+  CHECK(it.isBackingOff(Now + 2999ms));
+  CHECK(!it.isBackingOff(Now + 3s));
+  CHECK(ServerFeedback::boundedBackoff(1e30) == ServerFeedback::MaxBackoff);
+  CHECK(ServerFeedback::boundedBackoff(0.25) == 250ms);
 }
 
 TEST_CASE("feedback belongs to the server process that sent it", "[feedback]") {
@@ -85,7 +86,7 @@
   const ServerProcess first{HostName("p1"), 7};
   const ServerProcess second{HostName("p1"), 8};
   announce(7);
-  set.noteFeedback(Now, first, {.LimitPerSecond = 2, .Leaving = true}, Now);
+  set.recordFeedback(Now, first, {.LimitPerSecond = 2, .Leaving = true}, Now);
   // The registration expires and the same process registers again.
   announce(7, /*gone=*/true);
   announce(7);
@@ -93,7 +94,7 @@
   announce(8);
   CHECK(set.feedbackOf(second) == ServerFeedback());
   // Late feedback of the former process doesn't apply to the new one.
-  set.noteFeedback(Now, first, {.LimitPerSecond = 2}, Now);
+  set.recordFeedback(Now, first, {.LimitPerSecond = 2}, Now);
   CHECK(set.feedbackOf(second) == ServerFeedback());
 }
 
@@ -118,7 +119,8 @@
   SendPermits permits;
   const ServerProcess server{HostName("s"), 1};
   const auto query = [&](TimePoint now) {
-    permits.want(now, server, {.Named = true, .PerThousandSeconds = 1000});
+    permits.requestPermit(now, server,
+                          {.Named = true, .PerThousandSeconds = 1000});
     return permits.takeQueries();
   };
   const auto first = query(Now);
@@ -126,8 +128,8 @@
   CHECK(query(Now).empty());
   permits.onReply(Now, {.Nonce = first[0].Nonce + 1, .Granted = true});
   CHECK_FALSE(permits.has(Now, server));
-  permits.onReply(Now, {.Nonce = first[0].Nonce, .ComeBack = 1s});
-  CHECK(permits.nextChance(Now, server) == Now + 1s);
+  permits.onReply(Now, {.Nonce = first[0].Nonce, .RetryAfter = 1s});
+  CHECK(permits.earliestSendTime(Now, server) == Now + 1s);
   CHECK(query(Now + 900ms).empty());
   const auto second = query(Now + 1s);
   REQUIRE(second.size() == 1);
@@ -135,7 +137,7 @@
                              .Granted = true,
                              .Delay = 100ms,
                              .Lifetime = 1s});
-  CHECK(permits.nextChance(Now + 1s, server) == Now + 1100ms);
+  CHECK(permits.earliestSendTime(Now + 1s, server) == Now + 1100ms);
   CHECK_FALSE(permits.has(Now + 1099ms, server));
   CHECK(permits.has(Now + 2099ms, server));
   CHECK(query(Now + 1500ms).empty());
@@ -143,9 +145,9 @@
   CHECK_FALSE(permits.has(Now + 2100ms, server));
   const auto third = query(Now + 2100ms);
   REQUIRE(third.size() == 1);
-  CHECK(permits.unanswered(Now + 3s));
+  CHECK(permits.hasOverdueQuery(Now + 3s));
   permits.onLinkLost(Now + 3s);
-  CHECK_FALSE(permits.unanswered(Now + 4s));
+  CHECK_FALSE(permits.hasOverdueQuery(Now + 4s));
   const auto fourth = query(Now + 4s);
   REQUIRE(fourth.size() == 1);
   permits.onReply(Now + 4s,
@@ -164,7 +166,7 @@
       const auto sent = only<SendUpstream>();
       head(sent, 200, {{"id", "r1"}, {"stamp", "s"}, {"limit", "1"}});
       end(sent, Whole);
-      take<ReplyWhole>();
+      take<ReplyComplete>();
     }
     request("safe");
     Queries = Controller.takePermitQueries();
@@ -184,7 +186,7 @@
       {.Nonce = it.Queries[1].Nonce, .Granted = true, .Lifetime = 1s});
   CHECK(it.only<SendUpstream>().Server == it.Queries[1].Server);
   // A permit covers one send.
-  it.Controller.onCallerGone(Now + 2ms, 1);
+  it.Controller.onCallerDisconnected(Now + 2ms, 1);
   it.request("safe");
   CHECK(it.take<SendUpstream>().empty());
 }
@@ -195,9 +197,9 @@
   LimitedPlainServers it;
   for (const SendPermitQuery &query : it.Queries)
     it.Controller.onSendPermit(Now + 2ms,
-                               {.Nonce = query.Nonce, .ComeBack = 3s});
+                               {.Nonce = query.Nonce, .RetryAfter = 3s});
   it.Controller.tick(Now + 110ms);
-  const auto reply = it.only<ReplyWhole>();
+  const auto reply = it.only<ReplyComplete>();
   CHECK(reply.Head.Status == 503);
   CHECK(std::stoll(*findHeader(reply.Head.Headers, "come-back")) >= 2'890'000);
 }
@@ -210,7 +212,7 @@
   const auto sent = it.permit();
   it.head(sent, 200, {{"id", "r1"}, {"stamp", "s"}, {"limit", "1.5"}});
   const auto told = it.only<SendToAgent>();
-  const auto seen = std::get<RateLimitSeen>(told.Content);
+  const auto seen = std::get<RateLimitReport>(told.Content);
   CHECK(seen.Limit == RateLimit{.Named = true, .PerThousandSeconds = 1500});
   it.end(sent, Whole);
   it.take<SendToAgent>();
@@ -238,7 +240,7 @@
   it.Controller.answers().onHead(Now + 2s, again.Attempt,
                                  {200, {{"id", "r2"}, {"stamp", "s"}}});
   const auto ended =
-      std::get<RateLimitSeen>(it.only<SendToAgent>().Content).Limit;
+      std::get<RateLimitReport>(it.only<SendToAgent>().Content).Limit;
   CHECK(ended == RateLimit{.Age = 1s});
 }
 
--- a/test/platform/FakePlatformMain.cpp
+++ b/test/platform/FakePlatformMain.cpp
@@ -99,11 +99,11 @@
     return Failures == 0 ? 0 : 1;
   }
 
-  HeadVerdict onHead(const AttemptId &, ResponseHead head) override {
+  HeadDecision onHead(const AttemptId &, ResponseHead head) override {
     Status = head.Status;
-    const std::string *comeBack = findHeader(head.Headers, "Retry-After");
-    ComeBack = comeBack ? std::stod(*comeBack) : 0;
-    return HeadVerdict::Take;
+    const std::string *retryAfter = findHeader(head.Headers, "Retry-After");
+    RetryAfter = retryAfter ? std::stod(*retryAfter) : 0;
+    return HeadDecision::Take;
   }
   void onBody(const AttemptId &, std::string_view bytes) override {
     Body += bytes;
@@ -350,14 +350,14 @@
   /// Each server is asked once: it wants rest, and the next caller is told when
   /// the first one is back.
   void judgeRest() {
-    constexpr double LeastComeBack = 0.1;
+    constexpr double MinRetryAfter = 0.1;
     const bool rests = Status == 503 && Body == "servers_rest\n";
     // A server that had no permit left to be asked with isn't known to rest.
     if (!rests && Loop.now() < PhaseBegan + std::chrono::seconds(2))
       return enter(Phase::Rest);
-    const bool good = rests && ComeBack >= LeastComeBack;
+    const bool good = rests && RetryAfter >= MinRetryAfter;
     std::printf("%s: all servers rest, come back in %.1f s\n",
-                good ? "ok" : "FAILED", ComeBack);
+                good ? "ok" : "FAILED", RetryAfter);
     Failures += good ? 0 : 1;
     Loop.stop();
   }
@@ -402,7 +402,7 @@
   int RefusedInZone = 0;
   TimePoint InForceSince;
   /// Of the last refusal, in seconds.
-  double ComeBack = 0;
+  double RetryAfter = 0;
   std::size_t Next = 0;
   std::string Id;
   int Status = 0;
--- a/test/platform/soak/Callers.cpp
+++ b/test/platform/soak/Callers.cpp
@@ -114,9 +114,9 @@
 // Answers
 //===----------------------------------------------------------------------===//
 
-HeadVerdict Callers::onHead(const AttemptId &attempt, ResponseHead head) {
+HeadDecision Callers::onHead(const AttemptId &attempt, ResponseHead head) {
   UnderWay.at(attempt).Status = head.Status;
-  return HeadVerdict::Take;
+  return HeadDecision::Take;
 }
 
 void Callers::onBody(const AttemptId &attempt, std::string_view bytes) {
--- a/test/platform/soak/Callers.h
+++ b/test/platform/soak/Callers.h
@@ -26,7 +26,7 @@
   /// Looks at what ran, once nothing is under way any more.
   void checkRuns();
 
-  HeadVerdict onHead(const AttemptId &attempt, ResponseHead head) override;
+  HeadDecision onHead(const AttemptId &attempt, ResponseHead head) override;
   void onBody(const AttemptId &attempt, std::string_view bytes) override;
   void onEnd(const AttemptId &attempt, UpstreamEnding ending) override;
 
