--- a/test/LoadGateTest.cpp
+++ b/test/LoadGateTest.cpp
@@ -100,7 +100,7 @@
 // held before and took 25 ms, the others 260 ms.
 TEST_CASE("a load of an adapter that the engine has held is expected to take "
           "less time") {
-  LoadTimeModel model({.Store = 250ms});
+  LoadTimeModel model({.StoreTime = 250ms});
   CHECK(model.expected(numbered(1)) == 250ms);
   model.onLoaded(numbered(1), 250ms);
   REQUIRE(model.hasCopy(numbered(1)));
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("the number of copies that an engine keeps is learned") {
-  LoadTimeModel model({.Store = 250ms});
+  LoadTimeModel model({.StoreTime = 250ms});
   for (int i = 0; i < 100; ++i)
     model.onLoaded(numbered(i), 250ms);
   CHECK(model.hasCopy(numbered(50)));
