--- a/packages/node/pimentofront/Node.h
+++ b/packages/node/pimentofront/Node.h
@@ -1,9 +1,9 @@
-//===- Node.h - The parts that a process plays ------------------*- C++ -*-===//
+//===- Node.h - Roles of a process ------------------------------*- C++ -*-===//
 ///
 /// \file
 /// \defgroup Node Node
-/// Replica, entry and agent: each ties the controllers of the other modules to
-/// links, a log store, an engine and callers, all of them abstract. The same
+/// Replica, entry and agent: each connects the controllers of the other modules
+/// to links, a log store, an engine and callers, all of them abstract. The same
 /// nodes run in the daemon, in scenarios under virtual time and in replays.
 ///
 //===----------------------------------------------------------------------===//
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -37,9 +37,11 @@
   Network.send(*link, Announce{record(gone)});
 }
 
-/// The link to the leader is gone. Without this an agent whose first packet met
-/// a replica that wasn't up yet was silent for a whole renewal period: after a
-/// loss of power the engines' base models were ordered 0.7 s later.
+/// Announces this agent in full at the next chance, after the link to the
+/// leader was lost. If it waited for the next renewal instead, an agent whose
+/// first packet reached a replica that was not up yet would be silent for a
+/// whole renewal period: after a power failure this delayed the loads of the
+/// engines' base models by 0.7 s.
 void AgentNode::announceAnew(TimePoint now) {
   Announced = false;
   NextRenewal = now;
@@ -100,7 +102,7 @@
                                        .Reason = RefusalReason::BackendDown,
                                        .Load = Controller.figures(now)});
   if (!request.Server.empty()) {
-    // What was learned of a former process doesn't hold for this one.
+    // What was learned of a former process doesn't apply to this one.
     if (!Process.empty() && !maybeSame(Process, request.server()))
       Controller.onProcessChanged();
     Process = request.server();
@@ -111,9 +113,9 @@
 }
 
 bool AgentNode::hasEnded(TimePoint now, const ServerProcess &process) const {
-  // Where both tell, it is certain which process is meant. An entry that knows
-  // of the next one before this agent does has its request refused, too: what
-  // is held here is what the former one held.
+  // If both start times are known, it is certain which process is meant. A
+  // request for the next process is also refused while this agent doesn't know
+  // that process yet, because the agent's state still describes the former one.
   const ServerProcess current{process.Name, EngineStartedAt};
   if (bothTellStart(process, current))
     return !maybeSame(process, current);
@@ -146,7 +148,7 @@
     ProfileAction(profile);
 }
 
-/// An attempt that its entry sends itself needs only the word that it may.
+/// An entry that sends an attempt to the engine itself only needs the permit.
 void AgentNode::start(TimePoint now, const ExecuteRequest &request) {
   const auto it = Delegated.find(request.Attempt);
   if (it == Delegated.end())
@@ -159,7 +161,7 @@
 void AgentNode::cancelWork(TimePoint now, const AttemptId &attempt) {
   if (Delegated.erase(attempt) == 0)
     return Driver.cancel(attempt);
-  // The entry ends its own connection to the engine.
+  // The entry closes its own connection to the engine.
   Controller.onReleased(now, {attempt, ReleaseKind::BrokeOff});
 }
 
@@ -198,7 +200,7 @@
 }
 
 void AgentNode::flush(TimePoint now) {
-  // Ending delegated work may lead to further decisions.
+  // Cancelling delegated work may lead to further commands.
   for (auto commands = Controller.takeCommands(); !commands.empty();
        commands = Controller.takeCommands())
     for (const AgentCommand &command : commands)
--- a/packages/node/pimentofront/src/Node/AgentNode.h
+++ b/packages/node/pimentofront/src/Node/AgentNode.h
@@ -11,8 +11,8 @@
 
 /// \class BackendDriver
 /// \ingroup Node
-/// \brief Carries out what the agent decides, at the engine and the plain
-/// services. It reports back to AgentNode::controller().
+/// \brief Executes the agent's decisions at the engine and the plain services,
+/// and reports the results to AgentNode::controller().
 class BackendDriver {
 public:
   virtual ~BackendDriver() = default;
@@ -30,18 +30,18 @@
   /// Address at which entries reach this agent.
   std::string Address;
   std::vector<std::string> Replicas;
-  /// How often the lease is renewed.
+  /// Interval at which the lease on membership is renewed.
   Duration RenewPeriod = std::chrono::seconds(2);
-  /// A process of the engine that doesn't tell when it started counts as ended
-  /// for so long: entries hear of the next one within a few seconds. After that
-  /// the engine itself says whether an order is for another process.
+  /// For an engine that doesn't report its start time: how long its former
+  /// process counts as exited. Entries learn of the next process within a few
+  /// seconds. After that the engine itself detects orders for another process.
   Duration FormerProcessKept = std::chrono::seconds(5);
 };
 
 /// \class AgentNode
 /// \ingroup Node
-/// \brief The process beside a backend server: the only one that gives its
-/// engine orders.
+/// \brief The process beside a backend server, and the only one that sends
+/// orders to its engine.
 class AgentNode : public Node {
 public:
   /// \param eviction, \p gate, \p driver and \p transport outlive the node.
@@ -54,29 +54,30 @@
   void onLinkClosed(TimePoint now, LinkId link) override;
   void tick(TimePoint now) override;
 
-  /// The driver tells the controller what happened, then calls flush().
+  /// The driver reports events to the controller, then calls flush().
   AgentController &controller() { return Controller; }
   const AgentController &controller() const { return Controller; }
-  /// Carries out what the controller decided.
+  /// Executes the commands of the controller.
   void flush(TimePoint now);
 
-  /// Tells everybody that no new work is taken.
+  /// Announces to the entries and the leader that this agent takes no new work.
   void leave(TimePoint now);
-  /// Tells the leader that this process ends.
+  /// Deregisters this process from the leader, because it exits.
   void sayGoodbye(TimePoint now);
-  /// The routing document says something new of the engine.
+  /// Sets the callback for a new engine profile from the routing document.
   using ProfileCallback = std::function<void(const EngineProfile &)>;
   void onProfile(ProfileCallback action) { ProfileAction = std::move(action); }
-  /// \returns the fencing token for orders; 0 before the leader has given one.
+  /// \returns the fencing token for orders; 0 before the leader has issued one.
   std::uint64_t fence() const { return Fence; }
-  /// \returns the engine's process, as entries named it last; empty while none
-  /// has, since it started.
+  /// \returns the engine's process as entries named it last; empty if none has
+  /// since the process started.
   const ServerProcess &engineProcess() const { return Process; }
-  /// The engine says when its process started; 0 if it doesn't.
+  /// Records when the engine's process started, as the engine reports it; 0 if
+  /// it doesn't.
   void onEngineSeen(std::uint64_t startedAt) { EngineStartedAt = startedAt; }
-  /// The process that entries named has ended; another one may have begun.
+  /// The process that entries named has exited; another one may have started.
   void onEngineRestarted(TimePoint now);
-  /// \returns time left of the lease on membership.
+  /// \returns the remaining time of the lease on membership.
   Duration leaseLeft(TimePoint now) const;
 
 private:
@@ -87,7 +88,8 @@
   void sendToScheduler(TimePoint now, const Message &message);
   void onEntryMessage(TimePoint now, LinkId link, const Message &message);
   void onExecute(TimePoint now, LinkId link, const ExecuteRequest &request);
-  /// \returns whether \p process isn't the one that the engine runs now.
+  /// \returns whether \p process is known to have exited, or to be another one
+  /// than the engine runs now.
   bool hasEnded(TimePoint now, const ServerProcess &process) const;
   void onReleased(TimePoint now, const AttemptReleased &message);
   void takeProfile(TimePoint now, const EngineProfile &profile);
@@ -101,19 +103,21 @@
   AgentController Controller;
   LeaderLink Leader;
   std::set<LinkId> Entries;
-  /// The leader has our full announcement, on this link.
+  /// Whether the leader has this agent's full announcement from the current
+  /// link.
   bool Announced = false;
   TimePoint NextRenewal;
   TimePoint LeasedUntil;
   std::uint64_t Fence = 0;
-  /// Attempts that an entry sends to the engine itself.
+  /// Attempts that an entry sends to the engine itself, with the link to that
+  /// entry.
   std::unordered_map<AttemptId, LinkId> Delegated;
   ServerProcess Process;
-  /// When the engine's process started, by its own word; 0 if it isn't told.
+  /// When the engine's process started, as the engine reports it; 0 if unknown.
   std::uint64_t EngineStartedAt = 0;
-  /// Processes of the engine that have ended, and since when that is known: an
-  /// entry that names one hasn't heard of the next one, and can't send it a
-  /// request.
+  /// Exited processes of the engine, and when their exit was noticed. An entry
+  /// that names one of them doesn't know the next process yet, so its request
+  /// is refused.
   std::map<ServerProcess, TimePoint> FormerProcesses;
   EngineProfile Profile;
   ProfileCallback ProfileAction;
--- a/packages/node/pimentofront/src/Node/LeaderLink.cpp
+++ b/packages/node/pimentofront/src/Node/LeaderLink.cpp
@@ -6,12 +6,13 @@
 namespace pimentofront {
 namespace {
 
-/// Between two tries, so that a group without a leader isn't stormed.
+/// Delay between two attempts, so that a group without a leader isn't flooded
+/// with connections.
 constexpr Duration RetryPause = std::chrono::milliseconds(100);
 
-/// How long a link may take to open at first: some tens of round trips within a
-/// region, and a wait for a turn of a small processor. It doubles with each
-/// link that didn't open, so that slow hosts get through.
+/// Time within which a link has to open at first: some tens of round trips
+/// within a region, plus the scheduling delay of a small processor. It doubles
+/// with each link that didn't open, so that slow hosts can be reached.
 constexpr Duration FirstOpenLimit = std::chrono::milliseconds(300);
 
 } // namespace
@@ -20,7 +21,7 @@
                        std::size_t first, Duration silenceLimit)
     : Network(transport), Addresses(std::move(addresses)), Next(first),
       SilenceLimit(silenceLimit) {
-  assert(!Addresses.empty() && "a process knows where replicas are");
+  assert(!Addresses.empty() && "at least one replica address is required");
 }
 
 std::optional<LinkId> LeaderLink::link(TimePoint now) {
--- a/packages/node/pimentofront/src/Node/LeaderLink.h
+++ b/packages/node/pimentofront/src/Node/LeaderLink.h
@@ -9,42 +9,48 @@
 
 /// \class LeaderLink
 /// \ingroup Node
-/// \brief Finds the leader of the replicas, or any replica, and keeps a link.
+/// \brief Finds the leader of the replicas, or any replica, and maintains a
+/// link to it.
 ///
-/// The other side must say something at least once a silence limit, or the
-/// link counts as cut: TCP alone notices a silent cut only after minutes. A
-/// link that doesn't come about is given up much sooner, and the next replica
-/// is tried: with two replicas of five without power, and the first packet of a
-/// connection to the third dropped, a process followed nobody for four seconds.
+/// The link counts as dead if nothing arrives on it within the silence limit:
+/// TCP alone detects a silent cut only after minutes. A link that doesn't open
+/// is given up much sooner, and the next replica is tried. Otherwise a process
+/// could be without a replica for four seconds when two of five replicas were
+/// down and the first packet of the connection to a third was lost.
 class LeaderLink {
 public:
-  /// \param first index of the replica to try first; spreads the processes.
+  /// \param first index of the replica to try first; distributes the processes
+  /// over the replicas.
   LeaderLink(Transport &transport, std::vector<std::string> addresses,
              std::size_t first,
              Duration silenceLimit = std::chrono::seconds(3));
 
-  /// \returns the link to send on, open or opening; opens one if need be.
+  /// \returns the link to send on, open or still opening. Opens one if there is
+  /// none, but returns nothing until the retry delay after a closed link is
+  /// over.
   std::optional<LinkId> link(TimePoint now);
-  /// The replicas are at other addresses now; a link that is there stays.
+  /// Replaces the addresses of the replicas; an existing link stays.
   void setAddresses(const std::vector<std::string> &addresses);
   const std::vector<std::string> &addresses() const { return Addresses; }
   bool owns(LinkId link) const { return Link && *Link == link; }
-  /// The link opened, or anything arrived on it.
+  /// The link opened, or a message arrived on it.
   void onHeard(TimePoint now);
   void onClosed(TimePoint now);
-  /// The replica there doesn't lead; \p address does, if it is set.
+  /// The connected replica is not the leader; \p address is the leader's, if it
+  /// isn't empty.
   void onRedirect(TimePoint now, const std::string &address);
-  /// Gives up a link that hasn't opened, or on which nothing was heard, for too
+  /// Closes a link that hasn't opened, or on which nothing has arrived, for too
   /// long.
-  /// \returns whether it did: whatever was said on it has to be said again.
+  /// \returns whether the link was closed: what was sent on it has to be sent
+  /// again.
   bool tick(TimePoint now);
 
 private:
   void giveUp(TimePoint now);
-  /// \returns how long the link may take to open.
+  /// \returns the time within which the link has to open.
   Duration openLimit() const;
-  /// \returns the next address in turn, but not the one that was silent last:
-  /// a frozen host still takes connections.
+  /// \returns the next address in turn, skipping the one that timed out last: a
+  /// frozen host still accepts connections.
   std::string nextAddress();
 
   Transport &Network;
@@ -53,11 +59,11 @@
   Duration SilenceLimit;
   std::string Hint;
   std::optional<LinkId> Link;
-  /// The link has opened.
+  /// Whether the link has opened.
   bool Opened = false;
-  /// Links given up in sequence because they didn't open.
+  /// Consecutive links that were given up because they didn't open.
   std::uint32_t NeverOpened = 0;
-  /// Where the link leads, and which address was given up for its silence.
+  /// Address of the current link, and the address that timed out last.
   std::string Current;
   std::string Silent;
   TimePoint HeardAt;
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
@@ -5,8 +5,8 @@
 void LedgerKeeper::noteTerm(TimePoint now, Term term) {
   if (term == Seen)
     return;
-  // A term that was skipped may have had a leader, and so may one that began
-  // before this process did.
+  // A term that was skipped may have had a leader, and so may a term that began
+  // before this process started.
   QuietBefore = Seen != 0 && term == Seen + 1 &&
                 now >= SeenSince + Rules.Window + Rules.Lease;
   Seen = term;
@@ -17,7 +17,7 @@
   if (Led == term)
     return;
   noteTerm(now, term);
-  // Nobody else led in between: what was lent is known.
+  // No other replica led in between, so the units granted in advance are known.
   const bool goesOn = Led != 0 && term == Led + 1;
   if (!goesOn)
     Ledger.begin(now, term, QuietBefore);
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.h
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.h
@@ -8,24 +8,25 @@
 
 /// \class LedgerKeeper
 /// \ingroup Node
-/// \brief Keeps the allotment ledger of a replica that leads: begins it anew
-/// with each term, and has it follow the accounts in force.
+/// \brief Manages the allotment ledger of a leading replica: restarts it in a
+/// new term and updates it with the client accounts in force.
 class LedgerKeeper {
 public:
-  /// \param documents may be null: then no account has a limit that is known.
+  /// \param documents may be null: then no account has a known limit.
   LedgerKeeper(const AllotmentRules &rules, const DocumentCodec *documents)
       : Rules(rules), Documents(documents), Ledger(rules, Sizing) {}
 
-  /// To be told of every term that this process sees.
+  /// Call it for every term that this process observes.
   void noteTerm(TimePoint now, Term term);
-  /// This replica leads in \p term, under its lease. Begins the ledger at once:
-  /// buckets fill before anybody asks.
+  /// This replica leads in \p term and holds the leader lease. Starts the
+  /// ledger at once rather than at the first report, so that its buckets
+  /// already fill.
   void lead(TimePoint now, Term term);
   /// \pre lead() was called for \p term.
   AllotmentGrants onReport(TimePoint now, const Configuration &configuration,
                            const AllotmentReport &report);
-  /// \returns what is known of the accounts, for operators.
-  /// \pre lead() was called for the present term.
+  /// \returns the state of the accounts, for operators.
+  /// \pre lead() was called for the current term.
   std::vector<AccountStatus> status(TimePoint now,
                                     const Configuration &configuration);
 
@@ -37,8 +38,8 @@
   LeasesByUse Sizing;
   AllotmentLedger Ledger;
   Term Led = 0;
-  /// The newest term, and whether another ledger can have begun in the last
-  /// window and lease before it.
+  /// The newest term observed, when it was first observed, and whether no other
+  /// ledger can have started in the last window and lease before it.
   Term Seen = 0;
   TimePoint SeenSince;
   bool QuietBefore = false;
--- a/packages/node/pimentofront/src/Node/LinkWatch.h
+++ b/packages/node/pimentofront/src/Node/LinkWatch.h
@@ -9,29 +9,30 @@
 
 /// \class LinkWatch
 /// \ingroup Node
-/// \brief Notices links that carry nothing any more without having ended: a
-/// question was sent on one, and for too long nothing at all has come back.
+/// \brief Detects half-open links: a request was sent on the link, and nothing
+/// at all has arrived on it within a time limit.
 ///
-/// Such a link looks open to the system: what it sends may even be
-/// acknowledged, by whatever stands between. Only the silence shows it. Use it
-/// where each question is answered at once by whoever is alive; not for links
-/// on which one side only listens.
+/// The operating system reports such a link as open. A middlebox may even
+/// acknowledge what is sent, so only the silence shows the failure. Use it
+/// where a running peer answers each request at once; not for links on which
+/// one side only listens.
 class LinkWatch {
 public:
-  /// \param limit longer than a living process takes to answer.
+  /// \param limit longer than a running process takes to answer.
   explicit LinkWatch(Duration limit) : Limit(limit) {}
 
-  /// Something was sent that has to be answered.
+  /// A request was sent that has to be answered.
   void noteAsked(TimePoint now, LinkId link) { Asked.emplace(link, now); }
-  /// Something has come, an answer or not.
+  /// A message arrived, whether a reply or not.
   void noteHeard(LinkId link) { Asked.erase(link); }
   void forget(LinkId link) { Asked.erase(link); }
-  /// \returns the links that have been silent for too long, and forgets them.
+  /// \returns the links that have been silent for too long, and removes them
+  /// from the watch.
   std::vector<LinkId> takeSilent(TimePoint now);
 
 private:
   Duration Limit;
-  /// When the first question was sent that nothing has come after.
+  /// When the first request was sent since a message arrived last.
   std::map<LinkId, TimePoint> Asked;
 };
 
--- a/packages/node/pimentofront/src/Node/ReplicaNode.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.cpp
@@ -7,17 +7,20 @@
 namespace {
 
 constexpr Duration JoinPeriod = std::chrono::seconds(1);
-/// Changes of members are sent together this often.
+/// Interval at which changes are pushed to subscribers, so that several changes
+/// of members share a message.
 constexpr Duration PushPeriod = std::chrono::milliseconds(50);
-/// A question to the leader that isn't answered in this time is asked again.
+/// A read-index request to the leader is repeated if it has not been answered
+/// within this time.
 constexpr Duration ReadTimeout = std::chrono::milliseconds(500);
 
-/// A link between replicas on which nothing has come for so many election
-/// timeouts after a question is ended. Without that, two replicas that had such
-/// a link between them elected no leader for as long as it lasted.
+/// Number of election timeouts after which a link between replicas is closed if
+/// nothing has arrived on it since a request. Two replicas that kept such a
+/// dead link could not elect a leader while it lasted.
 constexpr int SilentElectionTimeouts = 3;
 
-/// \returns whether a living replica answers \p message at once.
+/// \returns whether \p message is a request that a running replica answers at
+/// once.
 bool isQuestion(const Message &message) {
   return std::holds_alternative<VoteRequest>(message) ||
          std::holds_alternative<AppendRequest>(message) ||
@@ -44,8 +47,8 @@
 //===----------------------------------------------------------------------===//
 
 void ReplicaNode::onLinkOpen(TimePoint, LinkId link, const Hello &hello) {
-  // Only links between replicas: those that other parts of a process open end
-  // when these parts want it.
+  // Only links opened for replication are used. Links that other nodes of
+  // either process opened are closed when those nodes no longer need them.
   const bool ours = std::ranges::any_of(
       OpenedTo, [&](const auto &it) { return it.second == link; });
   if (hello.Replica == 0 || (hello.Accepted && !ours))
@@ -73,8 +76,8 @@
   askLeader(now);
 }
 
-/// Two replicas that opened links to each other at one time have two: when one
-/// ends, the other one serves.
+/// Two replicas that connect to each other at the same time have two links.
+/// When one of them closes, the other one is used.
 void ReplicaNode::useOtherLink(ReplicaId replica) {
   ReplicaLinks.erase(replica);
   const auto other = std::ranges::find_if(
@@ -102,7 +105,7 @@
     return;
   const auto opened = OpenedTo.find(to.Address);
   if (opened != OpenedTo.end())
-    return; // Under way; the log sends again.
+    return; // Still opening: the message is dropped, and the log repeats it.
   const LinkId link = Network.open(to.Address, LinkPurpose::Replication);
   OpenedTo[to.Address] = link;
   Network.send(link, message);
@@ -138,7 +141,7 @@
     const bool current = sender != ReplicaOfLink.end() && Followed != 0 &&
                          sender->second == Followed;
     if (current && !Members.apply(*update))
-      Followed = 0; // Something is missing: subscribe anew.
+      Followed = 0; // An update was missed: subscribe again.
   }
 }
 
@@ -151,7 +154,8 @@
                      std::holds_alternative<SnapshotPart>(message) ||
                      std::holds_alternative<SnapshotReply>(message) ||
                      std::holds_alternative<JoinRequest>(message);
-  // Only one who said that it is a replica takes part.
+  // Log messages are accepted only from peers that identified themselves as
+  // replicas.
   if (isLog && ReplicaOfLink.contains(link) && !Failure)
     Log.onMessage(now, Wall.milliseconds(), message);
   return isLog;
@@ -212,8 +216,9 @@
       std::ranges::count_if(Members.members(), [](const auto &it) {
         return it.second.Slots > 0 && !it.second.Registered;
       });
-  // Terms outlive every loss that the group outlives, so a token is never
-  // given out twice, and a later leader's are higher.
+  // A token consists of the term and a counter. The term survives every failure
+  // that the group survives, so no token is issued twice, and a later leader
+  // issues higher ones.
   constexpr unsigned FencesPerTermBits = 24;
   Network.send(link, LeaseReply{.Known = known,
                                 .Lease = Options.Members.Lease,
@@ -229,7 +234,7 @@
 
 void ReplicaNode::announce(TimePoint now, const MemberRecord &member,
                            std::uint64_t sequence) {
-  assert(leads(now) && "only the leader keeps the table of members");
+  assert(leads(now) && "only the leader maintains the member table");
   noteTerm(now);
   Members.announce(now, member, sequence);
 }
@@ -275,7 +280,8 @@
   case EvacuationVerdict::New:
     break;
   }
-  // Before it is proposed: a replica alone applies it at once.
+  // Recorded before the proposal, because a group of one replica applies it at
+  // once.
   Evacuations.noteProposed(order.Zone);
   const bool proposed = propose(now, Command{.Body = order}, std::move(done));
   if (!proposed)
@@ -295,8 +301,8 @@
   return result;
 }
 
-/// Processes learn of replicas that came after their own start, and so outlive
-/// those that they were told of.
+/// Informs processes of replicas that joined after they started, so that they
+/// can still reach the group when the replicas known to them before are gone.
 void ReplicaNode::pushAddresses() {
   const std::vector<std::string> addresses = groupAddresses();
   if (addresses == PushedAddresses)
@@ -360,12 +366,13 @@
 void ReplicaNode::onProbe(TimePoint now, LinkId link,
                           const ProbeRevision &message) {
   Listeners.noteInForce(link, message.InForce);
-  // It waits for a question to the leader that is asked after it came.
+  // Only a read index that is requested after the probe arrived can confirm it.
   Probes.push_back({link, message.Nonce, ReadRound + 1});
   askLeader(now);
 }
 
-/// One question to the leader stands for all probes that came before it.
+/// One read-index request to the leader serves all probes that arrived before
+/// it.
 void ReplicaNode::askLeader(TimePoint now) {
   const bool waiting = std::ranges::any_of(
       Probes, [&](const auto &it) { return it.Round > ReadRound; });
@@ -391,14 +398,15 @@
 void ReplicaNode::onReadIndex(TimePoint now, LinkId link,
                               const ReadIndexRequest &message) {
   FollowersSubscribers[message.From] = {message.Subscribers, now};
-  // Without a lease no answer: the follower's own probes then run out.
+  // Without a leader lease there is no answer, and the probes that the follower
+  // has received time out.
   if (const auto index = Log.readIndex(now))
     Network.send(link, ReadIndexReply{message.Nonce, *index, Members.version(),
                                       allSubscribers(now)});
 }
 
-/// A follower with subscribers asks about once a second; one that has been
-/// silent for longer serves nobody.
+/// Followers with subscribers send a read-index request about once a second.
+/// The count of one that has been silent for longer than Remembered is ignored.
 std::uint32_t ReplicaNode::allSubscribers(TimePoint now) const {
   constexpr Duration Remembered = std::chrono::seconds(5);
   std::uint32_t sum = Listeners.followingConfiguration();
@@ -471,8 +479,8 @@
     Network.send(link, request);
 }
 
-/// A follower gets the members from the leader, as other processes get them
-/// from it.
+/// A follower subscribes to the leader's members as other processes subscribe
+/// to a replica's.
 void ReplicaNode::followLeader(TimePoint) {
   const ReplicaDescriptor *leader = Log.leader();
   if (!leader || leader->Id == Log.id())
@@ -535,7 +543,8 @@
   const auto it = Proposals.find(entry.Index);
   if (it == Proposals.end())
     return;
-  // Another leader's entry may stand where ours was to stand.
+  // Another leader's entry may have been committed at this index instead of the
+  // one that this replica proposed.
   const bool ours = it->second.AtTerm == entry.EntryTerm;
   const PendingProposal proposal = std::move(it->second);
   Proposals.erase(it);
@@ -561,7 +570,8 @@
     if (!actions.Write.empty()) {
       const auto written = Store.write(actions.Write);
       if (!written) {
-        // Nothing of this batch may be promised to anybody.
+        // No message of this batch may be sent, since it could acknowledge
+        // entries that are not stored.
         Failure = written.error();
         break;
       }
--- a/packages/node/pimentofront/src/Node/ReplicaNode.h
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.h
@@ -13,31 +13,35 @@
 /// \ingroup Node
 struct ReplicaNodeOptions {
   ReplicatedLogOptions Log;
-  /// Addresses of the other hosts that may have a replica, for joining.
+  /// Addresses of the other hosts that may run a replica; join requests are
+  /// sent to them.
   std::vector<std::string> Others;
   MemberTableOptions Members;
   LoadSchedulerOptions Loads;
   ClaimLedgerOptions Claims;
   QuarantineReviewOptions Quarantine;
-  /// An operator's order without a command id is sent again for so long at
-  /// most.
+  /// Longest time for which a sender repeats an operator's order that has no
+  /// command id.
   Duration OrdersResentFor = std::chrono::seconds(6);
   AllotmentRules Allotments;
-  /// Reads the accounts of the documents in force; may be null.
+  /// Decodes the routing document in force to obtain the client accounts; may
+  /// be null.
   const DocumentCodec *Documents = nullptr;
-  /// Entries after which the log is replaced by a snapshot.
+  /// Number of log entries at which the log is compacted into a snapshot.
   std::size_t CompactAfter = 8192;
-  /// The same by bytes of entries: documents of operators are large.
+  /// Bytes of log entries at which the log is compacted into a snapshot:
+  /// operators' documents are large.
   std::size_t CompactAfterBytes = std::size_t(4) << 20;
-  /// Replicas with a vote before the first command is accepted: what is
-  /// accepted must outlive the loss of a disk from the first one on.
+  /// Number of voting replicas required before the first command is accepted,
+  /// so that every accepted command survives the loss of a disk.
   std::uint32_t VotersAtFirst = 1;
 };
 
 /// \class ReplicaNode
 /// \ingroup Node
-/// \brief A process with a disk that keeps the replicated state; when it leads,
-/// also the table of live members and the load scheduler.
+/// \brief A replica: stores the log on disk and applies it to the replicated
+/// state. The leader also runs the table of live members and the load
+/// scheduler.
 class ReplicaNode : public Node {
 public:
   ReplicaNode(TimePoint now, const ReplicaNodeOptions &options,
@@ -49,38 +53,42 @@
   void onLinkClosed(TimePoint now, LinkId link) override;
   void tick(TimePoint now) override;
 
-  /// Makes this replica, alone, the group.
+  /// Creates a replica group whose only member is this replica.
   bool bootstrap(TimePoint now);
 
-  /// Whether this replica leads, so that it may announce, propose and read.
+  /// \returns whether this replica is the leader and its lease is valid. Only
+  /// then may it announce members, propose commands and read.
   bool leads(TimePoint now) const { return Log.holdsLease(now); }
-  /// \returns the peer address of the leader, empty when none is known or it
-  /// is this replica.
+  /// \returns the peer address of the leader, empty if none is known or this
+  /// replica is the leader.
   std::string leaderAddress() const;
-  /// A backend server has registered itself here.
+  /// Records a backend server that registered itself with this replica.
   /// \pre leads(now)
   void announce(TimePoint now, const MemberRecord &member,
                 std::uint64_t sequence);
-  /// Has the group decide on a command. \p done is called with the outcome, or
-  /// with nothing when another leader took over before it was known.
-  /// \returns false when this replica can't accept it now.
+  /// Proposes a command to the group. \p done is called with the outcome, or
+  /// with nothing if another leader took over before the outcome was known.
+  /// \returns false if this replica can't accept the command now.
   using DecisionCallback =
       std::function<void(const std::optional<CommandOutcome> &)>;
   bool propose(TimePoint now, const Command &command, DecisionCallback done);
-  /// Has the group decide on an operator's order, sent without a command id, to
-  /// evacuate a zone or to take that back. One that may be an earlier order
-  /// which comes late gets no outcome: its sender is to ask again.
-  /// \returns false when this replica can't accept it now.
+  /// Proposes an operator's order, sent without a command id, to evacuate a
+  /// zone or to end its evacuation. If the order may be a delayed duplicate of
+  /// an earlier one, \p done is called without an outcome, and the sender has
+  /// to ask again.
+  /// \returns false if this replica can't accept the order now.
   bool orderEvacuation(TimePoint now, const EvacuateZone &order,
                        DecisionCallback done);
-  /// \returns the configuration as of now, or null when a newer one may be in
-  /// force elsewhere.
+  /// \returns the current configuration, or null if a newer one may be in force
+  /// elsewhere.
   const Configuration *currentConfiguration(TimePoint now) const;
-  /// Carries out what was decided: writes, sends, applies. To be called when
-  /// the messages at hand have been taken in, so that they share one sync.
+  /// Performs the pending actions of the log: writes entries, sends messages
+  /// and applies committed entries. Call it after all available messages have
+  /// been processed, so that they share one sync of the disk.
   void flush(TimePoint now);
   ReplicaStatus status(TimePoint now) const;
-  /// \returns why the store refuses to write, once it has.
+  /// \returns the error after which this replica stopped writing, if there was
+  /// one: a failed write or compaction, or a corrupt snapshot.
   const std::optional<LogStoreError> &storeError() const { return Failure; }
 
   const ReplicatedLog &log() const { return Log; }
@@ -89,18 +97,19 @@
 
 private:
   struct PendingProposal {
-    /// Set for a command that came over a link.
+    /// Set for a command that arrived over a link.
     LinkId Link = 0;
     std::uint64_t Nonce = 0;
     Term AtTerm = 0;
-    /// Set for a command of this process.
+    /// Set for a command that this process proposed itself.
     DecisionCallback Done;
   };
-  /// A question for the current revision, waiting for its confirmation.
+  /// A probe for the current revision that has not been answered yet.
   struct PendingProbe {
     LinkId Link = 0;
     std::uint64_t Nonce = 0;
-    /// The round of questions to the leader that it waits for.
+    /// Round of read-index requests whose result, or a later one, answers the
+    /// probe.
     std::uint64_t Round = 0;
   };
   struct PendingRead {
@@ -109,7 +118,7 @@
     MemberVersion Members;
     std::uint32_t Subscribers = 0;
   };
-  /// What a follower said of those that it serves.
+  /// The number of subscribers that a follower last reported.
   struct FollowerSubscribers {
     std::uint32_t Count = 0;
     TimePoint HeardAt;
@@ -128,7 +137,7 @@
   void useOtherLink(ReplicaId replica);
   void sendToReplica(TimePoint now, const ReplicaDescriptor &to,
                      const Message &message);
-  /// Ends links to replicas that carry nothing any more.
+  /// Closes links to replicas that no longer deliver messages.
   void endSilentLinks(TimePoint now);
   std::uint32_t allSubscribers(TimePoint now) const;
   void answerProbes();
@@ -165,7 +174,7 @@
   std::map<ReplicaId, LinkId> ReplicaLinks;
   std::map<LinkId, ReplicaId> ReplicaOfLink;
   std::map<std::string, LinkId> OpenedTo;
-  /// Finds links between replicas that carry nothing any more.
+  /// Detects links between replicas that no longer deliver messages.
   LinkWatch Watch;
   std::map<HostName, LinkId> AgentLinks;
   std::map<LogIndex, PendingProposal> Proposals;
@@ -175,13 +184,14 @@
   std::uint64_t ReadRound = 0;
   bool ReadUnderWay = false;
   TimePoint ReadAskedAt;
-  /// Leader whose members this follower follows, and the term.
+  /// Leader from which this follower receives the members, 0 if none, and the
+  /// term in which it subscribed.
   ReplicaId Followed = 0;
   Term FollowedTerm = 0;
   Term LedTerm = 0;
-  /// Fencing tokens given out in this term.
+  /// Number of fencing tokens issued in this term.
   std::uint64_t FencesGiven = 0;
-  /// Bytes of entries since the last snapshot.
+  /// Bytes of entries applied since the last snapshot.
   std::size_t BytesSinceSnapshot = 0;
   std::vector<std::string> PushedAddresses;
   TimePoint NextJoin;
