--- a/packages/node/pimentofront/src/Node/AgentLinks.cpp
+++ b/packages/node/pimentofront/src/Node/AgentLinks.cpp
@@ -41,7 +41,7 @@
 
 AgentLink AgentLinks::onClosed(LinkId link) {
   const auto it = Links.find(link);
-  assert(it != Links.end() && "find() tells whether it is a link to an agent");
+  assert(it != Links.end() && "call it only for links that find() knows");
   Watch.forget(link);
   AgentLink result = std::move(it->second);
   Links.erase(it);
--- a/packages/node/pimentofront/src/Node/AgentLinks.h
+++ b/packages/node/pimentofront/src/Node/AgentLinks.h
@@ -8,7 +8,7 @@
 
 /// \class AgentLink
 /// \ingroup Node
-/// \brief A link to an agent, opened when there is something to send.
+/// \brief A link to an agent, opened when the first message is sent.
 struct AgentLink {
   HostName Host;
   std::string Address;
@@ -23,28 +23,30 @@
   explicit AgentLinks(Transport &transport)
       : Network(transport), Watch(SilenceLimit) {}
 
-  /// Sends, and opens a link if there is none; what only takes something back
-  /// has no use on a new link.
-  /// \returns whether a link was opened.
+  /// Sends a message, and opens a link to the host if there is none. A message
+  /// that only cancels or releases an attempt does not open a link: the agent
+  /// drops an attempt when its link closes.
   bool send(TimePoint now, const SendToAgent &message);
-  /// \returns the link, or null if it isn't one to an agent.
+  /// \returns the link, or null if it isn't a link to an agent.
   const AgentLink *find(LinkId link) const;
   void onOpen(LinkId link);
   void onHeard(LinkId link) { Watch.noteHeard(link); }
-  /// \returns what the link was.
+  /// Removes a closed link.
+  /// \returns the agent that it led to.
   AgentLink onClosed(LinkId link);
-  /// \returns links to hosts that are gone, or at another address now.
+  /// \returns links to hosts that are gone or have another address now.
   std::vector<LinkId> staleLinks(const MemberViews &members) const;
-  /// \returns links that carry nothing any more.
+  /// \returns links that no longer deliver messages, and removes them from the
+  /// watch.
   std::vector<LinkId> takeSilent(TimePoint now) {
     return Watch.takeSilent(now);
   }
   void close(LinkId link) { Network.close(link); }
 
 private:
-  /// An agent says at once that it has taken a request in, or not. Long enough
-  /// for one that gets no processor for a while: ending its link takes back all
-  /// that it does for this entry.
+  /// An agent admits or refuses a request at once. The limit leaves time for an
+  /// agent that gets no processor for a while, because closing the link cancels
+  /// all its attempts for this entry.
   static constexpr Duration SilenceLimit = std::chrono::milliseconds(1500);
 
   Transport &Network;
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -38,10 +38,10 @@
 }
 
 /// Announces this agent in full at the next chance, after the link to the
-/// leader was lost. If it waited for the next renewal instead, an agent whose
-/// first packet reached a replica that was not up yet would be silent for a
-/// whole renewal period: after a power failure this delayed the loads of the
-/// engines' base models by 0.7 s.
+/// leader was lost or redirected. If it waited for the next renewal instead, an
+/// agent whose first packet reached a replica that was not up yet would be
+/// silent for a whole renewal period: after a power failure this delayed the
+/// loads of the engines' base models by 0.7 s.
 void AgentNode::announceAnew(TimePoint now) {
   Announced = false;
   NextRenewal = now;
--- a/packages/node/pimentofront/src/Node/DocumentCodec.h
+++ b/packages/node/pimentofront/src/Node/DocumentCodec.h
@@ -7,11 +7,12 @@
 
 /// \class DocumentCodec
 /// \ingroup Node
-/// \brief Reads the operators' routing documents; one class for each format.
+/// \brief Decodes operators' routing documents. There is one implementation per
+/// format.
 class DocumentCodec {
 public:
   virtual ~DocumentCodec() = default;
-  /// \returns the document; with findings, it isn't to be used.
+  /// \returns the document. If there are findings, it must not be used.
   virtual RoutingDocument decode(std::string_view text,
                                  Findings &findings) const = 0;
 };
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -3,8 +3,8 @@
 namespace pimentofront {
 namespace {
 
-/// A leader answers a command within a few syncs of its disk; one that says
-/// nothing for so long may be cut off, and another one is looked for.
+/// A leader answers a command within a few syncs of its disk. One that sends
+/// nothing for this time may be cut off, so another leader is looked for.
 constexpr Duration LeaderSilence = std::chrono::seconds(1);
 
 } // namespace
@@ -51,8 +51,7 @@
   }
 }
 
-/// A host that came back at another address, or is gone, has a link that leads
-/// nowhere.
+/// Closes links to hosts that are gone or have another address now.
 void EntryNode::dropStaleAgentLinks(TimePoint now) {
   for (const LinkId it : Agents.staleLinks(Controller.board().Members)) {
     Agents.close(it);
--- a/packages/node/pimentofront/src/Node/EntryNode.h
+++ b/packages/node/pimentofront/src/Node/EntryNode.h
@@ -11,7 +11,7 @@
 
 /// \class AnswerSink
 /// \ingroup Node
-/// \brief Takes what callers and operators get.
+/// \brief Receives the answers to callers and operators.
 class AnswerSink {
 public:
   virtual ~AnswerSink() = default;
@@ -28,20 +28,20 @@
   EntryOptions Entry;
   ConfigurationCopyOptions Configuration;
   std::vector<std::string> Replicas;
-  /// How often the process asks whether its configuration is current.
+  /// Interval at which the process asks whether its configuration is current.
   Duration ProbePeriod = std::chrono::seconds(1);
-  /// Time for an operator's command to be decided.
+  /// Time within which an operator's command has to be decided.
   Duration CommandTimeout = std::chrono::seconds(10);
 };
 
-/// What became of an operator's command; empty when nothing is known.
+/// Receives the outcome of an operator's command, or nothing if it is unknown.
 using CommandCallback =
     std::function<void(const std::optional<CommandOutcome> &)>;
 using StatusCallback = std::function<void(const std::optional<AdminReply> &)>;
 
 /// \class EntryNode
 /// \ingroup Node
-/// \brief The process that takes callers' and operators' requests.
+/// \brief The process that accepts the requests of callers and operators.
 class EntryNode : public Node {
 public:
   /// \param routing, \p transport and \p sink outlive the node.
@@ -55,16 +55,17 @@
 
   void request(TimePoint now, CallerRequest request);
   void callerGone(TimePoint now, RequestKey key);
-  /// Has the replicated state decide on an operator's command.
+  /// Proposes an operator's command to the replicas.
   void command(TimePoint now, const Command &command, CommandCallback done);
-  /// Asks one replica, or the leader when \p replica is empty.
+  /// Sends a request to one replica, or to the leader if \p replica is empty.
   void admin(TimePoint now, AdminRequest request, const std::string &replica,
              StatusCallback done);
 
-  /// No new requests from here on.
+  /// Refuses new requests from now on.
   void stop() { Controller.stop(); }
   bool idle() const { return Controller.idle() && Proposals.empty(); }
-  /// \returns whether requests are served: the configuration is confirmed.
+  /// \returns whether requests are served: the configuration is confirmed and
+  /// the process isn't stopping.
   bool ready(TimePoint now) const {
     return Feed.configuration().isConfirmed(now) &&
            !Controller.board().Stopping;
@@ -92,7 +93,7 @@
   EntryNodeOptions Options;
   Transport &Network;
   AnswerSink &Sink;
-  /// Any replica, for the configuration; the leader, for commands.
+  /// Any replica, for the configuration. Commands go to the leader.
   ReplicaFeed Feed;
   LeaderLink Leader;
   EntryController Controller;
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -3,17 +3,18 @@
 namespace pimentofront {
 namespace {
 
-/// A leader answers a command within a few syncs of its disk; one that says
-/// nothing for so long may be cut off, and another one is looked for.
+/// A leader answers a command within a few syncs of its disk. One that sends
+/// nothing for this time may be cut off, so another leader is looked for.
 constexpr Duration LeaderSilence = std::chrono::milliseconds(500);
-/// A process that wasn't called for so long has slept: it is called every some
-/// ten milliseconds, and busy hosts let one wait for some hundred.
+/// A process that was not called for this time was suspended: it is called
+/// every few tens of milliseconds, and a busy host delays a call by some
+/// hundred.
 constexpr Duration SleepGap = std::chrono::seconds(1);
-/// Shorter pauses between calls are usual.
+/// Shorter gaps between calls are normal and not reported as a stall.
 constexpr Duration StopGap = std::chrono::milliseconds(50);
 
-/// The ledger answers each report, and there is one a second while accounts are
-/// used; a link on which nothing came for so long is of no use.
+/// The ledger answers each report, and a report is sent every second while
+/// accounts are in use. A link on which nothing arrived for this time is dead.
 constexpr Duration LedgerSilence = std::chrono::seconds(3);
 
 ReplicaFeedOptions withQuarantine(ReplicaFeedOptions feed) {
@@ -208,8 +209,9 @@
   const std::string text = unpackText(record->Packed);
   RoutingDocument document = Documents.decode(text, findings);
   document.check(findings);
-  // It was checked before it was accepted; an entry of an older release may
-  // still not understand it, and then serves on by the one before.
+  // The document was checked before it was accepted, but an entry of an older
+  // release may still not understand it. It then continues to serve with the
+  // previous document.
   if (!findings.empty()) {
     Controller.setTableOutdated();
     return Sink.onEvent({.Name = "document_not_understood",
@@ -224,7 +226,7 @@
     sendProfile(now, host, it.Record.Address);
 }
 
-/// Tells an agent what its engine is to hold.
+/// Sends an agent the profile that the routing document has for its engine.
 void ForwardNode::sendProfile(TimePoint now, const HostName &host,
                               const std::string &address) {
   const ForwardBoard &board = Controller.board();
--- a/packages/node/pimentofront/src/Node/ForwardNode.h
+++ b/packages/node/pimentofront/src/Node/ForwardNode.h
@@ -11,14 +11,14 @@
 
 /// \class ForwardSink
 /// \ingroup Node
-/// \brief Carries out what forwarding decides, towards callers and backend
-/// servers.
+/// \brief Executes the forwarding controller's decisions towards callers and
+/// backend servers.
 class ForwardSink {
 public:
   virtual ~ForwardSink() = default;
   virtual void onCommand(ForwardCommand command) = 0;
   virtual void onEvent(const ForwardEvent &event) = 0;
-  /// Another routing document is in force.
+  /// A new routing document is in force.
   virtual void onTable(const RoutingTable &table) = 0;
 };
 
@@ -31,13 +31,13 @@
 
 /// \class ForwardNode
 /// \ingroup Node
-/// \brief The part of an entry that passes requests on as they are.
+/// \brief The part of an entry that forwards requests unchanged.
 ///
-/// It serves on while the replicas are away, but for client accounts: that a
-/// key still holds is relied on for a revocation bound only, and a limited
-/// account's requests need units that the leader lends. It begins only with a
-/// configuration that a quorum has confirmed, so that a restart never brings
-/// back an older one.
+/// It continues to serve while the replicas are unreachable, except for client
+/// accounts: a key is trusted only for the revocation bound after it was last
+/// confirmed, and requests of a limited account need units that the leader
+/// grants in advance. It starts only with a configuration that a quorum has
+/// confirmed, so that a restart never brings back an older one.
 class ForwardNode : public Node {
 public:
   ForwardNode(TimePoint now, const ForwardNodeOptions &options,
@@ -58,11 +58,11 @@
                     std::string_view bytes);
   void upstreamEnd(TimePoint now, const AttemptId &attempt,
                    UpstreamEnding ending);
-  /// Answers a CheckServer command.
+  /// Reports the result of a CheckServer command.
   void serverChecked(TimePoint now, const ServerProcess &server,
                      ServerLife life);
 
-  /// \returns whether requests can be served, for a while yet.
+  /// \returns whether requests can be served now and for some time to come.
   bool ready(TimePoint now) {
     return Controller.board().Table != nullptr &&
            Controller.accounts().ready(now) && Controller.knowsZones(now);
@@ -86,12 +86,12 @@
   void onLeaderMessage(TimePoint now, const Message &message);
   void askReplicas(TimePoint now, const AskReplicas &question);
   void onLedgerMessage(TimePoint now, const Message &message);
-  /// Looks for another leader when the ledger's one doesn't answer.
+  /// Looks for another leader if the ledger's leader doesn't answer.
   void watchLedger(TimePoint now);
-  /// Tells the allotment ledger what was spent and what is needed, and asks for
-  /// sends to limited servers.
+  /// Reports the spent and needed units to the allotment ledger, and requests
+  /// permits to send to rate-limited servers.
   void askLedgers(TimePoint now);
-  /// Notices that the process has slept since it was called last.
+  /// Detects that the process was paused or suspended since the last call.
   void noteTime(TimePoint now);
   void flush(TimePoint now);
 
@@ -99,16 +99,17 @@
   Transport &Network;
   ForwardSink &Sink;
   ReplicaFeed Feed;
-  /// The leader, for what the replicas decide.
+  /// Link to the leader for proposals.
   LeaderLink Leader;
   ProposalQueue Proposals;
-  /// The leader, for the units of allotments and for permits to send. A link of
-  /// its own: it is mostly open, and its silence means something else.
+  /// Link to the leader for the units of allotments and for send permits. It is
+  /// separate because it is open most of the time and its silence has another
+  /// limit.
   LeaderLink Ledger;
   AgentLinks Agents;
   ForwardController Controller;
   std::optional<TimePoint> LastCall;
-  /// Revision of the document in use.
+  /// Revision of the routing document in use.
   Revision InUse = 0;
   bool Confirmed = false;
 };
--- a/packages/node/pimentofront/src/Node/ProposalQueue.cpp
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.cpp
@@ -3,7 +3,7 @@
 namespace pimentofront {
 namespace {
 
-/// A proposal without an answer is sent again.
+/// Time after which a proposal without a reply is sent again.
 constexpr Duration ResendPeriod = std::chrono::milliseconds(500);
 
 } // namespace
@@ -38,7 +38,7 @@
 }
 
 void ProposalQueue::onReply(TimePoint now, const ProposeReply &reply) {
-  // Undecided ones are sent again.
+  // Undecided commands are sent again.
   if (reply.Decided && Proposals.contains(reply.Nonce))
     end(now, reply.Nonce, reply.Outcome);
 }
--- a/packages/node/pimentofront/src/Node/ProposalQueue.h
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.h
@@ -10,15 +10,16 @@
 
 /// \class ProposalQueue
 /// \ingroup Node
-/// \brief Commands on their way to the leader of the replicas: sent in order,
-/// sent again when the leader changes or says nothing, given up in time.
+/// \brief Sends commands to the leader of the replicas in order, repeats them
+/// when the leader changes or doesn't answer, and gives them up at their
+/// deadline.
 ///
-/// A command may so be decided twice: it must be one that the replicated state
-/// recognises. Opens the link to the leader only when there is something to
-/// say.
+/// A command may therefore be decided twice, so it must be one whose repetition
+/// the replicated state recognises. The link to the leader is opened only when
+/// there is something to send.
 class ProposalQueue {
 public:
-  /// What became of a command; empty when nothing is known.
+  /// Receives the outcome of a command, or nothing if it is unknown.
   using Callback =
       std::function<void(TimePoint, const std::optional<CommandOutcome> &)>;
 
@@ -26,14 +27,16 @@
   ProposalQueue(Transport &transport, LeaderLink &leader)
       : Network(transport), Leader(leader) {}
 
-  /// Has the replicated state decide on \p command. \p done is called once.
+  /// Adds a command for the replicas to decide. \p done is called once.
   void add(const Command &command, TimePoint giveUpAt, Callback done);
-  /// Sends what hasn't been sent on the present link, or long ago.
+  /// Sends the commands that were not sent on the current link, or were sent
+  /// too long ago.
   void send(TimePoint now);
   void onReply(TimePoint now, const ProposeReply &reply);
-  /// The replica there doesn't lead.
+  /// The connected replica is not the leader.
   void onRedirect(TimePoint now, const NotLeader &redirect);
-  /// Gives up what nothing is known of in time.
+  /// Gives up commands whose outcome is still unknown at their deadline, and
+  /// sends the others that are due.
   void tick(TimePoint now);
   bool empty() const { return Proposals.empty(); }
 
@@ -41,7 +44,7 @@
   struct Proposal {
     Command Content;
     TimePoint GiveUpAt;
-    /// Link on which it was sent last, and when.
+    /// Link on which the command was sent last, and when.
     LinkId SentOn = 0;
     TimePoint SentAt;
     Callback Done;
@@ -52,7 +55,7 @@
   Transport &Network;
   LeaderLink &Leader;
   std::uint64_t LastNonce = 0;
-  /// By nonce: in the order in which they were added.
+  /// By nonce, that is, in the order in which they were added.
   std::map<std::uint64_t, Proposal> Proposals;
 };
 
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -5,12 +5,13 @@
 namespace pimentofront {
 namespace {
 
-/// Probes that go unanswered before another replica is asked. A change must be
-/// in force everywhere within a few probes, also where the replica that was
-/// followed froze just before.
+/// Probe periods without a message after which another replica is tried. A
+/// change must be in force everywhere within a few probe periods, even if the
+/// replica that a process subscribes to froze just before it.
 constexpr double SilentProbes = 1.5;
-/// A replica isn't taken for dead before: one that takes the connections of all
-/// processes after a loss of power answers none of them for most of a second.
+/// Lower bound of the silence after which a replica counts as unreachable.
+/// After a power failure, a replica that accepts the connections of all
+/// processes answers none of them for most of a second.
 constexpr Duration LeastSilence = std::chrono::seconds(1);
 
 Duration silenceLimit(Duration probePeriod) {
@@ -71,7 +72,8 @@
   FeedNews news;
   if (const auto *it = std::get_if<ConfigurationUpdate>(&message)) {
     news.Drains = Copy.apply(*it);
-    // Reports at once what is in force, and has it confirmed.
+    // The update is complete: reports the revision in force at once and has it
+    // confirmed.
     if (!it->Partial) {
       news.Configuration = true;
       probe(now);
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.h
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.h
@@ -10,33 +10,35 @@
 /// \ingroup Node
 struct ReplicaFeedOptions {
   HostName Host;
-  /// Random number of the process; spreads the processes over the replicas.
+  /// Random number of the process; distributes the processes over the replicas.
   std::uint64_t Incarnation = 0;
   ConfigurationCopyOptions Configuration;
   std::vector<std::string> Replicas;
-  /// The process wants to know of requests that end backend servers.
+  /// Whether the process subscribes to the quarantine of requests that crash
+  /// backend servers.
   bool WantsQuarantine = false;
-  /// How often the process asks whether its configuration is current.
+  /// Interval at which the process asks whether its configuration is current.
   Duration ProbePeriod = std::chrono::seconds(1);
 };
 
 /// \class FeedNews
 /// \ingroup Node
-/// \brief What a message of a replica has changed.
+/// \brief What a message from a replica changed.
 struct FeedNews {
   bool Configuration = false;
-  /// Hosts were taken out of use, or back.
+  /// Hosts or zones were taken out of use, or put back into use.
   bool Drains = false;
   std::optional<MemberUpdate> Members;
   std::optional<QuarantineUpdate> Quarantine;
-  /// Processes that follow the configuration, this one among them.
+  /// Number of processes that subscribe to the configuration, this one
+  /// included.
   std::optional<std::uint32_t> Subscribers;
 };
 
 /// \class ReplicaFeed
 /// \ingroup Node
-/// \brief Keeps a process's copy of the configuration and of the members
-/// current, from whichever replica answers.
+/// \brief Keeps a process's copies of the configuration and the members
+/// current, using any replica that answers.
 class ReplicaFeed {
 public:
   ReplicaFeed(const ReplicaFeedOptions &options, Transport &transport);
@@ -48,12 +50,12 @@
   void tick(TimePoint now);
 
   const ConfigurationCopy &configuration() const { return Copy; }
-  /// \returns a time since when everything is known here that was decided on
-  /// the quarantine of requests before it.
+  /// \returns a time such that every decision about the quarantine of requests
+  /// made before it is known here; empty until the first such confirmation.
   std::optional<TimePoint> quarantineKnownAt() const { return KnownAt; }
-  /// Asks at once whether everything is current.
+  /// Probes at once whether the copies are current.
   void askNow(TimePoint now) { probe(now); }
-  /// \returns the replicas known now.
+  /// \returns the addresses of the replicas known now.
   const std::vector<std::string> &replicas() const {
     return Replica.addresses();
   }
@@ -70,9 +72,9 @@
   LeaderLink Replica;
   bool Subscribed = false;
   TimePoint NextProbe;
-  /// Version of the quarantine ledger that is known.
+  /// Version of the quarantine ledger that this process has received.
   std::uint64_t Quarantine = 0;
-  /// The last question, and the version of which its answer told.
+  /// The last probe, and the quarantine version that its reply named.
   struct Question {
     std::uint64_t Nonce = 0;
     TimePoint AskedAt;
--- a/packages/node/pimentofront/src/Node/Subscribers.cpp
+++ b/packages/node/pimentofront/src/Node/Subscribers.cpp
@@ -5,11 +5,13 @@
 namespace pimentofront {
 namespace {
 
-/// Records in one message of a large difference.
+/// Maximum number of records in one message; a larger difference is sent in
+/// parts.
 constexpr std::size_t RecordsInPart = 2000;
 
-/// Sends the difference since \p since part by part: the whole of it is never
-/// held. \returns the number of parts.
+/// Sends the difference since \p since in parts, so that it never has to be in
+/// memory as a whole.
+/// \returns the number of parts.
 std::size_t
 sendDifference(const Configuration &configuration, Revision since,
                const std::function<void(ConfigurationUpdate)> &send) {
@@ -61,7 +63,8 @@
                                                  Cached = std::move(part);
                                              });
     CachedSince = subscriber.Known;
-    // Most lack the same small difference; a large one isn't kept.
+    // Most subscribers lack the same small difference. A large one isn't
+    // cached.
     if (parts > 1)
       Cached.reset();
   }
@@ -73,16 +76,16 @@
                        const QuarantineLedger &quarantine) {
   bool sentLarge = false;
   for (auto &[link, subscriber] : All) {
-    // First: whoever is told that its configuration is the newest relies on
-    // knowing what is in quarantine, too.
+    // The quarantine goes first: a process that learns that its configuration
+    // is current relies on knowing the quarantine, too.
     if (subscriber.WantsQuarantine)
       if (const auto update =
               quarantine.updateSince(subscriber.KnownQuarantine)) {
         Network.send(link, *update);
         subscriber.KnownQuarantine = update->To;
       }
-    // Those who lack much take turns: each needs a whole configuration on its
-    // way.
+    // At most one large difference is sent per call, since each needs the
+    // memory of a whole configuration while it is being sent.
     const Revision missing = configuration.revision() - subscriber.Known;
     const bool lacks = subscriber.Known < configuration.revision();
     const bool large = lacks && missing > RecordsInPart;
--- a/packages/node/pimentofront/src/Node/Subscribers.h
+++ b/packages/node/pimentofront/src/Node/Subscribers.h
@@ -6,13 +6,14 @@
 
 namespace pimentofront {
 
-/// Known revision of a subscriber that wants members but no configuration.
+/// Value of Subscribe::Known for a subscriber to the members only, without the
+/// configuration.
 constexpr Revision MembersOnly = ~Revision(0);
 
 /// \class Subscribers
 /// \ingroup Node
-/// \brief The processes that a replica keeps current: it sends each what
-/// changed since what it has, not the state.
+/// \brief The processes that subscribe to a replica. Each one is sent the
+/// changes since its own version rather than the whole state.
 class Subscribers {
 public:
   explicit Subscribers(Transport &transport) : Network(transport) {}
@@ -20,13 +21,14 @@
   void add(LinkId link, const Subscribe &subscribe);
   void remove(LinkId link);
   void noteInForce(LinkId link, Revision revision);
-  /// Sends what each one lacks.
+  /// Sends each subscriber the changes that it lacks.
   void push(const Configuration &configuration, const MemberTable &members,
             const QuarantineLedger &quarantine);
-  /// Sends all that follow the configuration the same.
+  /// Sends a message to all subscribers to the configuration.
   void sendAll(const Message &message);
   std::vector<RevisionInForce> inForce() const;
-  /// \returns how many follow the configuration, not only the members.
+  /// \returns the number of subscribers to the configuration; those to the
+  /// members only don't count.
   std::uint32_t followingConfiguration() const;
   std::size_t size() const { return All.size(); }
 
@@ -45,7 +47,8 @@
 
   Transport &Network;
   std::map<LinkId, Subscriber> All;
-  /// The difference that was sent last; subscribers mostly lack the same.
+  /// The difference sent last, and the revision that it starts from; most
+  /// subscribers lack the same one.
   Revision CachedSince = 0;
   std::optional<ConfigurationUpdate> Cached;
 };
--- a/packages/node/pimentofront/src/Node/Transport.h
+++ b/packages/node/pimentofront/src/Node/Transport.h
@@ -5,48 +5,50 @@
 
 namespace pimentofront {
 
-/// Names one link between two processes, on this side; never used again.
+/// Identifies a link between two processes on this side; never reused.
 using LinkId = std::uint64_t;
 
-/// What a link is opened for.
+/// Purpose for which a link is opened.
 enum class LinkPurpose : std::uint8_t {
   General,
-  /// Between two replicas: the greeting names the identity of the disk.
+  /// Between two replicas: the Hello message carries the replica's id, which is
+  /// that of its disk.
   Replication,
 };
 
 /// \class Transport
 /// \ingroup Node
-/// \brief Links to other processes. Messages of one link arrive in order, each
-/// once, until the link ends; the end may go unnoticed for long.
+/// \brief Links to other processes. The messages of a link arrive in order and
+/// once each until the link ends. The end may go unnoticed for a long time.
 class Transport {
 public:
   virtual ~Transport() = default;
-  /// Begins to open a link. Messages that are sent before it is open wait.
+  /// Starts to open a link. Messages sent before it is open are queued.
   virtual LinkId open(const std::string &address,
                       LinkPurpose purpose = LinkPurpose::General) = 0;
-  /// Sends, if the link still exists.
+  /// Sends a message; does nothing if the link no longer exists.
   virtual void send(LinkId link, const Message &message) = 0;
-  /// Ends a link; nothing more is heard of it.
+  /// Closes a link. No further callback is made for it.
   virtual void close(LinkId link) = 0;
 };
 
 /// \class PeerHandler
 /// \ingroup Node
-/// \brief What a process does with links and messages.
+/// \brief Callbacks of a process for links and messages.
 class PeerHandler {
 public:
   virtual ~PeerHandler() = default;
-  /// The other side said who it is; the first call for a link.
+  /// The peer identified itself. This is the first call for a link.
   virtual void onLinkOpen(LinkId link, const Hello &hello) = 0;
   virtual void onMessage(LinkId link, const Message &message) = 0;
-  /// The link has ended; the last call. It may never have been open.
+  /// The link has ended. This is the last call for it; it may never have been
+  /// open.
   virtual void onLinkClosed(LinkId link) = 0;
 };
 
 /// \class Node
 /// \ingroup Node
-/// \brief One part that a process plays. It ignores links that aren't its own.
+/// \brief A role of a process. It ignores links that belong to other roles.
 class Node {
 public:
   virtual ~Node() = default;
@@ -54,13 +56,13 @@
   virtual void onMessage(TimePoint now, LinkId link,
                          const Message &message) = 0;
   virtual void onLinkClosed(TimePoint now, LinkId link) = 0;
-  /// To be called every ten milliseconds or so.
+  /// Call it about every ten milliseconds.
   virtual void tick(TimePoint now) = 0;
 };
 
 /// \class WallClock
 /// \ingroup Node
-/// \brief Time of day, for what is recorded; decisions don't look at it.
+/// \brief Time of day for records. Decisions don't depend on it.
 class WallClock {
 public:
   virtual ~WallClock() = default;
--- a/test/ApiTest.cpp
+++ b/test/ApiTest.cpp
@@ -7,7 +7,7 @@
 using namespace pimentofront;
 using namespace std::chrono_literals;
 
-TEST_CASE("envelopes come out of any pieces") {
+TEST_CASE("envelopes are decoded from pieces of any size") {
   const std::string bytes =
       encodeEnvelope(0, "hello") + encodeEnvelope(Envelope::EndOfStream, "{}");
   for (std::size_t size = 1; size < bytes.size(); ++size) {
@@ -25,14 +25,16 @@
   }
 }
 
-TEST_CASE("an envelope that claims too much is malformed, before it comes") {
+TEST_CASE(
+    "an envelope over the size limit is malformed before its body arrives") {
   EnvelopeReader reader(1000);
   reader.feed(std::string("\x00\xff\xff\xff\xff", 5));
   CHECK_FALSE(reader.next());
   CHECK(reader.malformed());
 }
 
-TEST_CASE("content types of the protocol, and others") {
+TEST_CASE(
+    "content types of the Connect protocol are recognised, others are not") {
   CHECK(parseContentType("application/json; charset=utf-8")->Codec ==
         ConnectCodec::Json);
   CHECK(parseContentType("application/connect+proto")->Stream);
@@ -40,14 +42,14 @@
   CHECK_FALSE(parseContentType(""));
 }
 
-TEST_CASE("timeouts are digits, ten at most") {
+TEST_CASE("timeouts consist of at most ten digits") {
   CHECK(parseTimeout("1500") == Duration(1500ms));
   CHECK(parseTimeout("") == Duration(0));
   for (const char *it : {"-1", "1.5", "x", "12345678901", "1 "})
     CHECK_FALSE(parseTimeout(it));
 }
 
-TEST_CASE("an error tells code, outcome and when to come back") {
+TEST_CASE("an error states code, outcome and retry-after") {
   const ConnectError error{.Code = ConnectCode::Unavailable,
                            .Message = "a \"quoted\" reason",
                            .NotRun = true,
@@ -61,7 +63,7 @@
   CHECK(httpStatusOf(error.Code) == 503);
 }
 
-TEST_CASE("messages are read strictly, in both codecs") {
+TEST_CASE("messages are parsed strictly in both codecs") {
   v1::GenerateRequest request;
   CHECK(readMessage(ConnectCodec::Json, R"({"adapter":"a","maxTokens":3})",
                     request));
@@ -73,7 +75,7 @@
   CHECK_FALSE(readMessage(ConnectCodec::Json, deep, request));
 }
 
-TEST_CASE("server-sent events come out of any pieces") {
+TEST_CASE("server-sent events are decoded across pieces") {
   ServerSentEvents events;
   events.feed("data: {\"a\"");
   CHECK_FALSE(events.next());
--- a/test/ControlApiTest.cpp
+++ b/test/ControlApiTest.cpp
@@ -1,7 +1,7 @@
-// A backend server's heartbeat was answered 405 by a replica: a process whose
-// disk couldn't be opened at its start took the platform's calls for such as it
-// doesn't know, until its disk had taken a write once. The server took that for
-// a final answer in place of asking the next replica.
+// A process whose disk could not be opened at its start did not recognise the
+// platform's calls until its first successful write to the disk, and answered
+// 405 to a backend server's heartbeat. The server took that for a final answer
+// instead of asking the next replica.
 
 #include "ControlApi.h"
 #include "ManifestReader.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A call, and the status that it was answered.
+/// An exchange that records the status of its reply.
 class RecordedExchange : public HttpExchange {
 public:
   RecordedExchange(std::string method, std::string path)
@@ -42,7 +42,7 @@
   std::string Path;
 };
 
-/// Knows no call at all.
+/// Next handler, which rejects every call with status 405.
 class NothingElse : public HttpHandler {
 public:
   void onRequest(std::shared_ptr<HttpExchange> exchange) override {
@@ -63,23 +63,25 @@
 
 } // namespace
 
-TEST_CASE("a replica that can't use its disk sends callers elsewhere",
-          "[control-api]") {
+TEST_CASE(
+    "a replica that can't use its disk answers the platform's calls with 503",
+    "[control-api]") {
   const platform::ControlApiOptions replica{.ServesControl = true};
   CHECK(statusOf(replica, "PUT", "/-/instances/i-1") == 503);
   CHECK(statusOf(replica, "PUT", "/-/config") == 503);
   CHECK(statusOf(replica, "POST", "/-/version-put") == 503);
 }
 
-TEST_CASE("other processes leave the platform's calls to the next handler",
+TEST_CASE("a process without a replica passes the platform's calls on",
           "[control-api]") {
   CHECK(statusOf({}, "PUT", "/-/instances/i-1") == 405);
 }
 
-TEST_CASE("orders on zones that don't exist are refused", "[control-api]") {
+TEST_CASE("evacuation orders get status 503 while there is no replica",
+          "[control-api]") {
   const platform::ControlApiOptions replica{
       .ServesControl = true, .Zones = {{ZoneName("z"), RegionName("r")}}};
-  // Without a replica nobody can say.
+  // Without a replica the process can't tell whether the order is in force.
   CHECK(statusOf(replica, "POST", "/-/evacuation/z") == 503);
   CHECK(statusOf(replica, "DELETE", "/-/evacuation/z") == 503);
 }
--- a/test/LogTest.cpp
+++ b/test/LogTest.cpp
@@ -9,7 +9,8 @@
 using namespace pimentofront;
 using namespace std::chrono_literals;
 
-TEST_CASE("the lines of one event are bounded, and gaps are counted") {
+TEST_CASE(
+    "log lines are rate-limited per event, and dropped lines are counted") {
   LogGate gate({.Burst = 5, .PerSecond = 2});
   const TimePoint start{100s};
   int written = 0;
@@ -25,7 +26,7 @@
   CHECK(written == 6);
 }
 
-TEST_CASE("a reader that takes nothing holds nobody up") {
+TEST_CASE("a log reader that reads nothing doesn't block the writer") {
   int fds[2];
   REQUIRE(::pipe(fds) == 0);
   PipeAppender appender(fds[1]);
@@ -35,7 +36,7 @@
   constexpr int Lines = 1000;
   for (int i = 0; i < Lines; ++i)
     appender.doAppend(event);
-  // A pipe takes 64 KB; the rest was dropped, and the calls came back.
+  // A pipe holds 64 KB; the remaining lines are dropped without blocking.
   CHECK(appender.dropped() > Lines / 2);
   CHECK(appender.dropped() < Lines);
   ::close(fds[0]);
--- a/test/NodeTest.cpp
+++ b/test/NodeTest.cpp
@@ -50,18 +50,18 @@
   node.onLinkOpen(now, 1, hello);
   node.onLinkOpen(now, 2, hello);
   node.onLinkClosed(now, 2);
-  node.tick(now + 5s); // Asks for an election.
+  node.tick(now + 5s); // Starts an election.
   CHECK(transport.Used.contains(1));
   CHECK_FALSE(transport.Used.contains(2));
 }
 
-TEST_CASE(
-    "a process doesn't go back to the replica that has just been silent") {
+TEST_CASE("a process skips the replica that timed out last") {
   RecordingTransport transport;
   TimePoint now{100s};
   LeaderLink link(transport, {"a", "b", "c"}, 0, 1500ms);
   link.link(now);
-  // The order has changed meanwhile: the next one in turn is the same.
+  // The addresses are reordered, so the next one in turn is again the one that
+  // timed out.
   link.setAddresses({"b", "a", "c"});
   now += 1600ms;
   link.tick(now);
@@ -70,7 +70,8 @@
   CHECK(transport.Opened == std::vector<std::string>{"a", "c"});
 }
 
-TEST_CASE("another replica is followed before a change is overdue") {
+TEST_CASE(
+    "a process subscribes to another replica before a change is overdue") {
   RecordingTransport transport;
   TimePoint now{100s};
   ReplicaFeed feed({.Replicas = {"a", "b"}}, transport);
@@ -81,10 +82,11 @@
   CHECK(now - TimePoint{100s} < 1700ms);
 }
 
-// Two of five replicas without power, and a change a second later: whoever
-// followed one of them, and tried the other one next, followed nobody for four
-// seconds, and answered by the configuration of before.
-TEST_CASE("replicas without power are passed by within a second") {
+// If two of five replicas were down, a process that followed one of them and
+// tried the other one next was without a replica for four seconds. A change
+// made a second after the failure did not reach it, and it answered by the
+// former configuration.
+TEST_CASE("replicas that are down are skipped within about two seconds") {
   RecordingTransport transport;
   TimePoint now{100s};
   ReplicaFeed feed({.Replicas = {"a", "b", "c"}}, transport);
@@ -96,7 +98,7 @@
   CHECK(now - TimePoint{100s} < 2100ms);
 }
 
-TEST_CASE("a slow replica gets more time for its link each time") {
+TEST_CASE("a link that doesn't open gets more time on each attempt") {
   RecordingTransport transport;
   TimePoint now{100s};
   LeaderLink link(transport, {"a"}, 0, 3s);
@@ -104,7 +106,8 @@
     link.link(now += 10ms);
     link.tick(now);
   }
-  // After 0.3, 0.6, 1.2 and 2.4 seconds, and not after 3 yet.
+  // The attempts end after 0.3, 0.6, 1.2 and 2.4 seconds; the next one, which
+  // has 3 seconds, is still opening.
   CHECK(transport.Closed.size() == 4);
 }
 
@@ -120,9 +123,11 @@
 
 } // namespace
 
-// After a loss of power agents start before the replicas do; the first packet
-// of a link to one that isn't up is sent again only after a second.
-TEST_CASE("an agent whose first link doesn't open speaks on the next at once") {
+// After a power failure agents start before the replicas do. The first packet
+// of a connection to a replica that is not up yet is repeated only after a
+// second.
+TEST_CASE(
+    "an agent whose first link doesn't open announces itself on the next one") {
   RecordingTransport transport;
   NoDriver driver;
   LeastPopular eviction;
@@ -140,7 +145,7 @@
   CHECK(transport.Used.contains(transport.Last));
 }
 
-TEST_CASE("a link is silent when a question on it brings nothing back") {
+TEST_CASE("a link is silent if nothing arrives after a request on it") {
   const TimePoint now{100s};
   LinkWatch watch(1s);
   watch.noteAsked(now, 1);
@@ -154,7 +159,7 @@
   CHECK(watch.takeSilent(now + 1900ms) == std::vector<LinkId>{1});
 }
 
-TEST_CASE("a replica replaces a link to another one that has gone silent") {
+TEST_CASE("a replica replaces a silent link to another replica") {
   MemoryLogStore store = storeOfThree();
   RecordingTransport transport;
   const NoClock clock;
@@ -162,7 +167,7 @@
   ReplicaNode node(now, {}, store.Stored, store, transport, clock);
   constexpr LinkId Silent = 1;
   node.onLinkOpen(now, Silent, {.Protocol = ProtocolVersion, .Replica = 2});
-  // It asks for votes, again and again, and nobody answers.
+  // It keeps requesting votes and gets no reply.
   for (int i = 0; i < 1000 && transport.Closed.empty(); ++i)
     node.tick(now += 10ms);
   REQUIRE(transport.Closed == std::vector<LinkId>{Silent});
--- a/test/SettingsTest.cpp
+++ b/test/SettingsTest.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("good settings are taken over") {
+TEST_CASE("valid settings are applied") {
   Findings none;
   const Settings settings = Settings::parse("f.json", Good, none);
   CHECK(none.toText().empty());
@@ -39,7 +39,7 @@
   CHECK(settings.Services.at(0).Name == ServiceName("stock"));
 }
 
-TEST_CASE("each fault is found, with its line and pointer") {
+TEST_CASE("each fault is reported with its line and JSON pointer") {
   CHECK(findings(replaced("\"slots\": 5", "\"slots\": 0")) ==
         "f.json:6: /agent/slots: expected an integer from 1 to 4096\n");
   CHECK(findings(replaced("\"slots\"", "\"slotz\"")) ==
@@ -57,7 +57,7 @@
     CHECK(text.find(it) != std::string::npos);
 }
 
-TEST_CASE("settings that clash are faults") {
+TEST_CASE("contradictory settings are faults") {
   CHECK(findings(replaced("\"peers\": \"127.0.0.1:9080\"",
                           "\"peers\": \"127.0.0.1:8080\""))
             .find("the same address as http") != std::string::npos);
@@ -67,7 +67,7 @@
         std::string::npos);
 }
 
-TEST_CASE("what isn't JSON, or is but deep or doubled, is said so") {
+TEST_CASE("malformed JSON, deep nesting and duplicate keys are reported") {
   CHECK(findings("{\n\"a\": }").find("f.json:2") == 0);
   CHECK(findings("[1]").find("expected an object") != std::string::npos);
   CHECK(findings(std::string(100000, '[')).find("proper JSON") !=
--- a/test/TimeLineTest.cpp
+++ b/test/TimeLineTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace pimentofront;
 
-TEST_CASE("events of all processes stand in one order") {
+TEST_CASE("events of all processes are merged into one order") {
   TimeLine line;
   Findings findings;
   line.addLog("a",
@@ -26,7 +26,8 @@
   CHECK(line.events().size() == 1);
 }
 
-TEST_CASE("a stamp is later than all that were seen, but not dragged along") {
+TEST_CASE(
+    "a hybrid clock follows observed times but not ones far in the future") {
   HybridClock clock;
   const HybridTime first = clock.tick(1000);
   CHECK(clock.tick(1000) > first);
@@ -36,7 +37,7 @@
   CHECK(clock.tick(1000) < first + (6ULL << 16));
 }
 
-TEST_CASE("a request's id leads to its cause") {
+TEST_CASE("a request's id leads to the cause of its failure") {
   TimeLine line;
   Findings findings;
   line.addLog("collected",
