--- a/packages/node/pimentofront/src/Node/AgentLinks.cpp
+++ b/packages/node/pimentofront/src/Node/AgentLinks.cpp
@@ -5,7 +5,7 @@
 namespace pimentofront {
 namespace {
 
-bool takesBack(const Message &message) {
+bool isCancellation(const Message &message) {
   return std::holds_alternative<CancelAttempt>(message) ||
          std::holds_alternative<AttemptReleased>(message);
 }
@@ -16,14 +16,14 @@
   auto it = ByHost.find(message.Host);
   const bool isNew = it == ByHost.end();
   if (isNew) {
-    if (takesBack(message.Content))
+    if (isCancellation(message.Content))
       return false;
     const LinkId link = Network.open(message.Address);
     Links[link] = {message.Host, message.Address};
     it = ByHost.emplace(message.Host, link).first;
   }
   if (std::holds_alternative<ExecuteRequest>(message.Content))
-    Watch.noteAsked(now, it->second);
+    Watch.expectReply(now, it->second);
   Network.send(it->second, message.Content);
   return isNew;
 }
--- a/packages/node/pimentofront/src/Node/AgentLinks.h
+++ b/packages/node/pimentofront/src/Node/AgentLinks.h
@@ -21,7 +21,7 @@
 class AgentLinks {
 public:
   explicit AgentLinks(Transport &transport)
-      : Network(transport), Watch(SilenceLimit) {}
+      : Network(transport), Watch(SilenceTimeout) {}
 
   /// Sends a message, and opens a link to the host if there is none. A message
   /// that only cancels or releases an attempt does not open a link: the agent
@@ -30,7 +30,7 @@
   /// \returns the link, or null if it isn't a link to an agent.
   const AgentLink *find(LinkId link) const;
   void onOpen(LinkId link);
-  void onHeard(LinkId link) { Watch.noteHeard(link); }
+  void onHeard(LinkId link) { Watch.recordReceived(link); }
   /// Removes a closed link.
   /// \returns the agent that it led to.
   AgentLink onClosed(LinkId link);
@@ -47,7 +47,7 @@
   /// An agent admits or refuses a request at once. The limit leaves time for an
   /// agent that gets no processor for a while, because closing the link cancels
   /// all its attempts for this entry.
-  static constexpr Duration SilenceLimit = std::chrono::milliseconds(1500);
+  static constexpr Duration SilenceTimeout = std::chrono::milliseconds(1500);
 
   Transport &Network;
   LinkWatch Watch;
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -42,7 +42,7 @@
 /// agent whose first packet reached a replica that was not up yet would be
 /// silent for a whole renewal period: after a power failure this delayed the
 /// loads of the engines' base models by 0.7 s.
-void AgentNode::announceAnew(TimePoint now) {
+void AgentNode::scheduleAnnouncement(TimePoint now) {
   Announced = false;
   NextRenewal = now;
 }
@@ -57,7 +57,7 @@
 void AgentNode::onLinkClosed(TimePoint now, LinkId link) {
   if (Leader.owns(link)) {
     Leader.onClosed(now);
-    return announceAnew(now);
+    return scheduleAnnouncement(now);
   }
   if (Entries.erase(link) == 0)
     return;
@@ -90,13 +90,13 @@
   } else if (const auto *limit = std::get_if<RateLimitSeen>(&message)) {
     Controller.onRateLimitSeen(now, *limit);
   } else if (const auto *profile = std::get_if<EngineProfile>(&message)) {
-    takeProfile(now, *profile);
+    applyProfile(now, *profile);
   }
 }
 
 void AgentNode::onExecute(TimePoint now, LinkId link,
                           const ExecuteRequest &request) {
-  if (hasEnded(now, request.server()))
+  if (hasExited(now, request.server()))
     return Network.send(link,
                         AttemptRefused{.Attempt = request.Attempt,
                                        .Reason = RefusalReason::BackendDown,
@@ -112,7 +112,7 @@
   Controller.onExecute(now, link, request);
 }
 
-bool AgentNode::hasEnded(TimePoint now, const ServerProcess &process) const {
+bool AgentNode::hasExited(TimePoint now, const ServerProcess &process) const {
   // If both start times are known, it is certain which process is meant. A
   // request for the next process is also refused while this agent doesn't know
   // that process yet, because the agent's state still describes the former one.
@@ -121,14 +121,14 @@
     return !maybeSame(process, current);
   const auto it = FormerProcesses.find(process);
   return it != FormerProcesses.end() &&
-         now < it->second + Options.FormerProcessKept;
+         now < it->second + Options.FormerProcessRetention;
 }
 
 void AgentNode::onEngineRestarted(TimePoint now) {
   if (Process.empty())
     return;
   std::erase_if(FormerProcesses, [&](const auto &it) {
-    return now >= it.second + Options.FormerProcessKept;
+    return now >= it.second + Options.FormerProcessRetention;
   });
   FormerProcesses[Process] = now;
   Process = ServerProcess();
@@ -139,7 +139,7 @@
   Controller.onReleased(now, message);
 }
 
-void AgentNode::takeProfile(TimePoint now, const EngineProfile &profile) {
+void AgentNode::applyProfile(TimePoint now, const EngineProfile &profile) {
   if (profile.At <= Profile.At)
     return;
   Profile = profile;
@@ -175,7 +175,7 @@
     Controller.onMembers(lease->Members);
   } else if (const auto *redirect = std::get_if<NotLeader>(&message)) {
     Leader.onRedirect(now, redirect->LeaderAddress);
-    announceAnew(now);
+    scheduleAnnouncement(now);
   } else if (const auto *replicas = std::get_if<ReplicaAddresses>(&message)) {
     Leader.setAddresses(replicas->Peers);
   } else if (const auto *ticket = std::get_if<LoadTicket>(&message)) {
@@ -187,7 +187,7 @@
 
 void AgentNode::tick(TimePoint now) {
   if (Leader.tick(now))
-    announceAnew(now);
+    scheduleAnnouncement(now);
   if (now >= NextRenewal)
     announce(now, /*gone=*/false);
   Controller.tick(now);
@@ -204,10 +204,10 @@
   for (auto commands = Controller.takeCommands(); !commands.empty();
        commands = Controller.takeCommands())
     for (const AgentCommand &command : commands)
-      carryOut(now, command);
+      execute(now, command);
 }
 
-void AgentNode::carryOut(TimePoint now, const AgentCommand &command) {
+void AgentNode::execute(TimePoint now, const AgentCommand &command) {
   if (const auto *it = std::get_if<SendToEntry>(&command))
     Network.send(it->Entry, it->Content);
   else if (const auto *message = std::get_if<SendToScheduler>(&command))
--- a/packages/node/pimentofront/src/Node/AgentNode.h
+++ b/packages/node/pimentofront/src/Node/AgentNode.h
@@ -35,7 +35,7 @@
   /// For an engine that doesn't report its start time: how long its former
   /// process counts as exited. Entries learn of the next process within a few
   /// seconds. After that the engine itself detects orders for another process.
-  Duration FormerProcessKept = std::chrono::seconds(5);
+  Duration FormerProcessRetention = std::chrono::seconds(5);
 };
 
 /// \class AgentNode
@@ -83,18 +83,18 @@
 private:
   void onLeaderMessage(TimePoint now, const Message &message);
   void announce(TimePoint now, bool gone);
-  void announceAnew(TimePoint now);
+  void scheduleAnnouncement(TimePoint now);
   MemberRecord record(bool gone) const;
   void sendToScheduler(TimePoint now, const Message &message);
   void onEntryMessage(TimePoint now, LinkId link, const Message &message);
   void onExecute(TimePoint now, LinkId link, const ExecuteRequest &request);
   /// \returns whether \p process is known to have exited, or to be another one
   /// than the engine runs now.
-  bool hasEnded(TimePoint now, const ServerProcess &process) const;
+  bool hasExited(TimePoint now, const ServerProcess &process) const;
   void onReleased(TimePoint now, const AttemptReleased &message);
-  void takeProfile(TimePoint now, const EngineProfile &profile);
+  void applyProfile(TimePoint now, const EngineProfile &profile);
   void start(TimePoint now, const ExecuteRequest &request);
-  void carryOut(TimePoint now, const AgentCommand &command);
+  void execute(TimePoint now, const AgentCommand &command);
   void cancelWork(TimePoint now, const AttemptId &attempt);
 
   AgentNodeOptions Options;
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -5,7 +5,7 @@
 
 /// A leader answers a command within a few syncs of its disk. One that sends
 /// nothing for this time may be cut off, so another leader is looked for.
-constexpr Duration LeaderSilence = std::chrono::seconds(1);
+constexpr Duration LeaderSilenceTimeout = std::chrono::seconds(1);
 
 } // namespace
 
@@ -20,7 +20,7 @@
             .ProbePeriod = options.ProbePeriod},
            transport),
       Leader(transport, options.Replicas, options.Entry.Incarnation + 1,
-             LeaderSilence),
+             LeaderSilenceTimeout),
       Controller(options.Entry, Feed.configuration(), routing),
       Agents(transport), Proposals(transport, Leader) {
   tick(now);
@@ -60,8 +60,8 @@
 }
 
 void EntryNode::onReplicaMessage(TimePoint now, const Message &message) {
-  const FeedNews news = Feed.onMessage(now, message);
-  if (news.Drains)
+  const FeedUpdate news = Feed.onMessage(now, message);
+  if (news.DrainsChanged)
     Controller.onDrains();
   if (news.Members) {
     Controller.onMembers(now, *news.Members);
@@ -133,7 +133,7 @@
   constexpr Duration AdminTimeout = std::chrono::seconds(2);
   AdminCalls[request.Nonce] = {.Request = request,
                                .Link = replica.empty() ? 0 : *link,
-                               .GiveUpAt = now + AdminTimeout,
+                               .Deadline = now + AdminTimeout,
                                .Done = std::move(done)};
   Network.send(*link, request);
 }
@@ -185,11 +185,11 @@
   Feed.tick(now);
   Leader.tick(now);
   Proposals.tick(now);
-  std::vector<std::uint64_t> lateCalls;
+  std::vector<std::uint64_t> expiredCalls;
   for (const auto &[nonce, it] : AdminCalls)
-    if (now >= it.GiveUpAt)
-      lateCalls.push_back(nonce);
-  for (const std::uint64_t nonce : lateCalls) {
+    if (now >= it.Deadline)
+      expiredCalls.push_back(nonce);
+  for (const std::uint64_t nonce : expiredCalls) {
     const AdminCall call = std::move(AdminCalls.at(nonce));
     AdminCalls.erase(nonce);
     if (call.Link != 0)
--- a/packages/node/pimentofront/src/Node/EntryNode.h
+++ b/packages/node/pimentofront/src/Node/EntryNode.h
@@ -79,7 +79,7 @@
   struct AdminCall {
     AdminRequest Request;
     LinkId Link = 0;
-    TimePoint GiveUpAt;
+    TimePoint Deadline;
     StatusCallback Done;
   };
 
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -5,17 +5,17 @@
 
 /// A leader answers a command within a few syncs of its disk. One that sends
 /// nothing for this time may be cut off, so another leader is looked for.
-constexpr Duration LeaderSilence = std::chrono::milliseconds(500);
+constexpr Duration LeaderSilenceTimeout = std::chrono::milliseconds(500);
 /// A process that was not called for this time was suspended: it is called
 /// every few tens of milliseconds, and a busy host delays a call by some
 /// hundred.
-constexpr Duration SleepGap = std::chrono::seconds(1);
+constexpr Duration SuspendGap = std::chrono::seconds(1);
 /// Shorter gaps between calls are normal and not reported as a stall.
-constexpr Duration StopGap = std::chrono::milliseconds(50);
+constexpr Duration StallGap = std::chrono::milliseconds(50);
 
 /// The ledger answers each report, and a report is sent every second while
 /// accounts are in use. A link on which nothing arrived for this time is dead.
-constexpr Duration LedgerSilence = std::chrono::seconds(3);
+constexpr Duration LedgerSilenceTimeout = std::chrono::seconds(3);
 
 ReplicaFeedOptions withQuarantine(ReplicaFeedOptions feed) {
   feed.WantsQuarantine = true;
@@ -31,10 +31,10 @@
     : Documents(documents), Network(transport), Sink(sink),
       Feed(withQuarantine(options.Feed), transport),
       Leader(transport, options.Feed.Replicas, options.Feed.Incarnation + 1,
-             LeaderSilence),
+             LeaderSilenceTimeout),
       Proposals(transport, Leader),
       Ledger(transport, options.Feed.Replicas, options.Feed.Incarnation + 2,
-             LedgerSilence),
+             LedgerSilenceTimeout),
       Agents(transport),
       Controller(options.Forward, Feed.configuration(), headers, routing) {
   tick(now);
@@ -73,7 +73,7 @@
 
 void ForwardNode::onMessage(TimePoint now, LinkId link,
                             const Message &message) {
-  noteTime(now);
+  detectPause(now);
   if (Feed.owns(link)) {
     onFeedMessage(now, message);
   } else if (Leader.owns(link)) {
@@ -88,16 +88,16 @@
 }
 
 void ForwardNode::onFeedMessage(TimePoint now, const Message &message) {
-  const FeedNews news = Feed.onMessage(now, message);
+  const FeedUpdate news = Feed.onMessage(now, message);
   if (news.Quarantine)
     Controller.quarantine().onUpdate(*news.Quarantine);
-  if (Feed.quarantineKnownAt())
-    Controller.quarantine().onKnown(*Feed.quarantineKnownAt());
+  if (Feed.quarantineKnownAsOf())
+    Controller.quarantine().onKnown(*Feed.quarantineKnownAsOf());
   if (news.Members) {
     Controller.onMembers(now, *news.Members);
     dropLinks(now, Agents.staleLinks(Controller.board().Servers.agents()));
   }
-  if (news.Drains)
+  if (news.DrainsChanged)
     Controller.onEvacuatedZones(now, evacuatedZones());
   if (news.Subscribers)
     Controller.onEntries(now, *news.Subscribers);
@@ -144,7 +144,7 @@
     Controller.onLedgerLinkLost(now);
 }
 
-void ForwardNode::askLedgers(TimePoint now) {
+void ForwardNode::sendLedgerRequests(TimePoint now) {
   if (!Controller.wantsAllotmentReport(now) && !Controller.wantsPermitQuery())
     return;
   const auto link = Ledger.link(now);
@@ -165,12 +165,12 @@
   Proposals.send(now);
 }
 
-void ForwardNode::noteTime(TimePoint now) {
-  if (LastCall && now >= *LastCall + StopGap)
+void ForwardNode::detectPause(TimePoint now) {
+  if (LastCall && now >= *LastCall + StallGap)
     Controller.attempts().onStop(now - *LastCall);
-  if (LastCall && now >= *LastCall + SleepGap) {
+  if (LastCall && now >= *LastCall + SuspendGap) {
     Controller.quarantine().onWake(now);
-    Feed.askNow(now);
+    Feed.probeNow(now);
   }
   LastCall = now;
 }
@@ -202,9 +202,9 @@
 void ForwardNode::useDocument(TimePoint now) {
   Confirmed = Confirmed || Feed.configuration().isConfirmed(now);
   const DocumentRecord *record = Feed.configuration().document();
-  if (!record || !Confirmed || record->ChangedAt <= InUse)
+  if (!record || !Confirmed || record->ChangedAt <= DocumentRevision)
     return;
-  InUse = record->ChangedAt;
+  DocumentRevision = record->ChangedAt;
   Findings findings;
   const std::string text = unpackText(record->Packed);
   RoutingDocument document = Documents.decode(text, findings);
@@ -218,8 +218,8 @@
                          .Detail = findings.toText(),
                          .Lost = true});
   }
-  const auto table =
-      std::make_shared<const RoutingTable>(InUse, std::move(document));
+  const auto table = std::make_shared<const RoutingTable>(DocumentRevision,
+                                                          std::move(document));
   Controller.setTable(table);
   Sink.onTable(*table);
   for (const auto &[host, it] : Controller.board().Servers.agents())
@@ -259,20 +259,20 @@
 
 void ForwardNode::request(TimePoint now, std::uint64_t key, RequestHead head,
                           std::string body, const ContentHash &bodyHash) {
-  noteTime(now);
+  detectPause(now);
   Controller.onRequest(now, key, std::move(head), std::move(body), bodyHash);
   flush(now);
 }
 
 void ForwardNode::callerGone(TimePoint now, std::uint64_t key) {
-  noteTime(now);
+  detectPause(now);
   Controller.onCallerGone(now, key);
   flush(now);
 }
 
 HeadVerdict ForwardNode::upstreamHead(TimePoint now, const AttemptId &attempt,
                                       ResponseHead head) {
-  noteTime(now);
+  detectPause(now);
   const HeadVerdict verdict =
       Controller.answers().onHead(now, attempt, std::move(head));
   flush(now);
@@ -287,20 +287,20 @@
 
 void ForwardNode::upstreamEnd(TimePoint now, const AttemptId &attempt,
                               UpstreamEnding ending) {
-  noteTime(now);
+  detectPause(now);
   Controller.answers().onEnd(now, attempt, ending);
   flush(now);
 }
 
 void ForwardNode::serverChecked(TimePoint now, const ServerProcess &server,
                                 ServerLife life) {
-  noteTime(now);
+  detectPause(now);
   Controller.onServerChecked(now, server, life);
   flush(now);
 }
 
 void ForwardNode::tick(TimePoint now) {
-  noteTime(now);
+  detectPause(now);
   Feed.tick(now);
   Leader.tick(now);
   Proposals.tick(now);
@@ -321,7 +321,7 @@
   }
   for (const ForwardEvent &it : Controller.takeEvents())
     Sink.onEvent(it);
-  askLedgers(now);
+  sendLedgerRequests(now);
 }
 
 } // namespace pimentofront
--- a/packages/node/pimentofront/src/Node/ForwardNode.h
+++ b/packages/node/pimentofront/src/Node/ForwardNode.h
@@ -90,9 +90,9 @@
   void watchLedger(TimePoint now);
   /// Reports the spent and needed units to the allotment ledger, and requests
   /// permits to send to rate-limited servers.
-  void askLedgers(TimePoint now);
+  void sendLedgerRequests(TimePoint now);
   /// Detects that the process was paused or suspended since the last call.
-  void noteTime(TimePoint now);
+  void detectPause(TimePoint now);
   void flush(TimePoint now);
 
   const DocumentCodec &Documents;
@@ -110,7 +110,7 @@
   ForwardController Controller;
   std::optional<TimePoint> LastCall;
   /// Revision of the routing document in use.
-  Revision InUse = 0;
+  Revision DocumentRevision = 0;
   bool Confirmed = false;
 };
 
--- a/packages/node/pimentofront/src/Node/LeaderLink.cpp
+++ b/packages/node/pimentofront/src/Node/LeaderLink.cpp
@@ -8,19 +8,19 @@
 
 /// Delay between two attempts, so that a group without a leader isn't flooded
 /// with connections.
-constexpr Duration RetryPause = std::chrono::milliseconds(100);
+constexpr Duration RetryDelay = std::chrono::milliseconds(100);
 
 /// Time within which a link has to open at first: some tens of round trips
 /// within a region, plus the scheduling delay of a small processor. It doubles
 /// with each link that didn't open, so that slow hosts can be reached.
-constexpr Duration FirstOpenLimit = std::chrono::milliseconds(300);
+constexpr Duration InitialOpenTimeout = std::chrono::milliseconds(300);
 
 } // namespace
 
 LeaderLink::LeaderLink(Transport &transport, std::vector<std::string> addresses,
-                       std::size_t first, Duration silenceLimit)
+                       std::size_t first, Duration silenceTimeout)
     : Network(transport), Addresses(std::move(addresses)), Next(first),
-      SilenceLimit(silenceLimit) {
+      SilenceTimeout(silenceTimeout) {
   assert(!Addresses.empty() && "at least one replica address is required");
 }
 
@@ -29,17 +29,17 @@
     return Link;
   if (now < RetryAt)
     return std::nullopt;
-  Current = Hint.empty() ? nextAddress() : Hint;
-  Hint.clear();
-  HeardAt = now;
+  CurrentAddress = LeaderHint.empty() ? nextAddress() : LeaderHint;
+  LeaderHint.clear();
+  LastReceivedAt = now;
   Opened = false;
-  Link = Network.open(Current);
+  Link = Network.open(CurrentAddress);
   return Link;
 }
 
 std::string LeaderLink::nextAddress() {
   const std::string &address = Addresses[Next++ % Addresses.size()];
-  if (address != Silent || Addresses.size() == 1)
+  if (address != TimedOutAddress || Addresses.size() == 1)
     return address;
   return Addresses[Next++ % Addresses.size()];
 }
@@ -51,7 +51,7 @@
 
 void LeaderLink::onClosed(TimePoint now) {
   Link.reset();
-  RetryAt = now + RetryPause;
+  RetryAt = now + RetryDelay;
 }
 
 void LeaderLink::giveUp(TimePoint now) {
@@ -62,30 +62,31 @@
 
 void LeaderLink::onRedirect(TimePoint now, const std::string &address) {
   giveUp(now);
-  Hint = address;
+  LeaderHint = address;
   if (!address.empty())
     RetryAt = now;
 }
 
 void LeaderLink::onHeard(TimePoint now) {
-  HeardAt = now;
+  LastReceivedAt = now;
   Opened = true;
-  NeverOpened = 0;
+  FailedOpens = 0;
 }
 
-Duration LeaderLink::openLimit() const {
-  constexpr std::uint32_t MostDoublings = 4;
-  return std::min(FirstOpenLimit * (1U << std::min(NeverOpened, MostDoublings)),
-                  SilenceLimit);
+Duration LeaderLink::openTimeout() const {
+  constexpr std::uint32_t MaxDoublings = 4;
+  return std::min(InitialOpenTimeout *
+                      (1U << std::min(FailedOpens, MaxDoublings)),
+                  SilenceTimeout);
 }
 
 bool LeaderLink::tick(TimePoint now) {
-  const Duration limit = Opened ? SilenceLimit : openLimit();
-  if (!Link || HeardAt + limit >= now)
+  const Duration limit = Opened ? SilenceTimeout : openTimeout();
+  if (!Link || LastReceivedAt + limit >= now)
     return false;
   if (!Opened)
-    ++NeverOpened;
-  Silent = Current;
+    ++FailedOpens;
+  TimedOutAddress = CurrentAddress;
   giveUp(now);
   return true;
 }
--- a/packages/node/pimentofront/src/Node/LeaderLink.h
+++ b/packages/node/pimentofront/src/Node/LeaderLink.h
@@ -23,7 +23,7 @@
   /// over the replicas.
   LeaderLink(Transport &transport, std::vector<std::string> addresses,
              std::size_t first,
-             Duration silenceLimit = std::chrono::seconds(3));
+             Duration silenceTimeout = std::chrono::seconds(3));
 
   /// \returns the link to send on, open or still opening. Opens one if there is
   /// none, but returns nothing until the retry delay after a closed link is
@@ -48,7 +48,7 @@
 private:
   void giveUp(TimePoint now);
   /// \returns the time within which the link has to open.
-  Duration openLimit() const;
+  Duration openTimeout() const;
   /// \returns the next address in turn, skipping the one that timed out last: a
   /// frozen host still accepts connections.
   std::string nextAddress();
@@ -56,17 +56,17 @@
   Transport &Network;
   std::vector<std::string> Addresses;
   std::size_t Next;
-  Duration SilenceLimit;
-  std::string Hint;
+  Duration SilenceTimeout;
+  std::string LeaderHint;
   std::optional<LinkId> Link;
   /// Whether the link has opened.
   bool Opened = false;
   /// Consecutive links that were given up because they didn't open.
-  std::uint32_t NeverOpened = 0;
+  std::uint32_t FailedOpens = 0;
   /// Address of the current link, and the address that timed out last.
-  std::string Current;
-  std::string Silent;
-  TimePoint HeardAt;
+  std::string CurrentAddress;
+  std::string TimedOutAddress;
+  TimePoint LastReceivedAt;
   TimePoint RetryAt;
 };
 
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
@@ -2,47 +2,48 @@
 
 namespace pimentofront {
 
-void LedgerKeeper::noteTerm(TimePoint now, Term term) {
-  if (term == Seen)
+void LedgerKeeper::recordTerm(TimePoint now, Term term) {
+  if (term == LastTerm)
     return;
   // A term that was skipped may have had a leader, and so may a term that began
   // before this process started.
-  QuietBefore = Seen != 0 && term == Seen + 1 &&
-                now >= SeenSince + Rules.Window + Rules.Lease;
-  Seen = term;
-  SeenSince = now;
+  NoRecentLedger = LastTerm != 0 && term == LastTerm + 1 &&
+                   now >= LastTermSince + Rules.Window + Rules.Lease;
+  LastTerm = term;
+  LastTermSince = now;
 }
 
 void LedgerKeeper::lead(TimePoint now, Term term) {
-  if (Led == term)
+  if (LedTerm == term)
     return;
-  noteTerm(now, term);
+  recordTerm(now, term);
   // No other replica led in between, so the units granted in advance are known.
-  const bool goesOn = Led != 0 && term == Led + 1;
-  if (!goesOn)
-    Ledger.begin(now, term, QuietBefore);
-  Led = term;
+  const bool continues = LedTerm != 0 && term == LedTerm + 1;
+  if (!continues)
+    Ledger.begin(now, term, NoRecentLedger);
+  LedTerm = term;
 }
 
 AllotmentGrants LedgerKeeper::onReport(TimePoint now,
                                        const Configuration &configuration,
                                        const AllotmentReport &report) {
-  follow(now, configuration);
+  updateAccounts(now, configuration);
   return Ledger.onReport(now, report);
 }
 
 std::vector<AccountStatus>
 LedgerKeeper::status(TimePoint now, const Configuration &configuration) {
-  constexpr std::size_t MostShown = 1000;
-  follow(now, configuration);
-  return Ledger.status(now, MostShown);
+  constexpr std::size_t MaxAccounts = 1000;
+  updateAccounts(now, configuration);
+  return Ledger.status(now, MaxAccounts);
 }
 
-void LedgerKeeper::follow(TimePoint now, const Configuration &configuration) {
+void LedgerKeeper::updateAccounts(TimePoint now,
+                                  const Configuration &configuration) {
   const DocumentRecord *record = configuration.document();
-  if (!Documents || !record || record->ChangedAt == Followed)
+  if (!Documents || !record || record->ChangedAt == AccountsRevision)
     return;
-  Followed = record->ChangedAt;
+  AccountsRevision = record->ChangedAt;
   Findings findings;
   RoutingDocument document =
       Documents->decode(unpackText(record->Packed), findings);
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.h
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.h
@@ -17,7 +17,7 @@
       : Rules(rules), Documents(documents), Ledger(rules, Sizing) {}
 
   /// Call it for every term that this process observes.
-  void noteTerm(TimePoint now, Term term);
+  void recordTerm(TimePoint now, Term term);
   /// This replica leads in \p term and holds the leader lease. Starts the
   /// ledger at once rather than at the first report, so that its buckets
   /// already fill.
@@ -31,19 +31,19 @@
                                     const Configuration &configuration);
 
 private:
-  void follow(TimePoint now, const Configuration &configuration);
+  void updateAccounts(TimePoint now, const Configuration &configuration);
 
   AllotmentRules Rules;
   const DocumentCodec *Documents;
   LeasesByUse Sizing;
   AllotmentLedger Ledger;
-  Term Led = 0;
+  Term LedTerm = 0;
   /// The newest term observed, when it was first observed, and whether no other
   /// ledger can have started in the last window and lease before it.
-  Term Seen = 0;
-  TimePoint SeenSince;
-  bool QuietBefore = false;
-  Revision Followed = 0;
+  Term LastTerm = 0;
+  TimePoint LastTermSince;
+  bool NoRecentLedger = false;
+  Revision AccountsRevision = 0;
 };
 
 } // namespace pimentofront
--- a/packages/node/pimentofront/src/Node/LinkWatch.cpp
+++ b/packages/node/pimentofront/src/Node/LinkWatch.cpp
@@ -4,11 +4,11 @@
 
 std::vector<LinkId> LinkWatch::takeSilent(TimePoint now) {
   std::vector<LinkId> silent;
-  for (const auto &[link, since] : Asked)
+  for (const auto &[link, since] : AwaitingReply)
     if (now - since >= Limit)
       silent.push_back(link);
   for (const LinkId it : silent)
-    Asked.erase(it);
+    AwaitingReply.erase(it);
   return silent;
 }
 
--- a/packages/node/pimentofront/src/Node/LinkWatch.h
+++ b/packages/node/pimentofront/src/Node/LinkWatch.h
@@ -22,10 +22,12 @@
   explicit LinkWatch(Duration limit) : Limit(limit) {}
 
   /// A request was sent that has to be answered.
-  void noteAsked(TimePoint now, LinkId link) { Asked.emplace(link, now); }
+  void expectReply(TimePoint now, LinkId link) {
+    AwaitingReply.emplace(link, now);
+  }
   /// A message arrived, whether a reply or not.
-  void noteHeard(LinkId link) { Asked.erase(link); }
-  void forget(LinkId link) { Asked.erase(link); }
+  void recordReceived(LinkId link) { AwaitingReply.erase(link); }
+  void forget(LinkId link) { AwaitingReply.erase(link); }
   /// \returns the links that have been silent for too long, and removes them
   /// from the watch.
   std::vector<LinkId> takeSilent(TimePoint now);
@@ -33,7 +35,7 @@
 private:
   Duration Limit;
   /// When the first request was sent since a message arrived last.
-  std::map<LinkId, TimePoint> Asked;
+  std::map<LinkId, TimePoint> AwaitingReply;
 };
 
 } // namespace pimentofront
--- a/packages/node/pimentofront/src/Node/ProposalQueue.cpp
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.cpp
@@ -8,10 +8,10 @@
 
 } // namespace
 
-void ProposalQueue::add(const Command &command, TimePoint giveUpAt,
+void ProposalQueue::add(const Command &command, TimePoint proposeUntil,
                         Callback done) {
   Proposals[++LastNonce] = {
-      .Content = command, .GiveUpAt = giveUpAt, .Done = std::move(done)};
+      .Content = command, .GiveUpAt = proposeUntil, .Done = std::move(done)};
 }
 
 void ProposalQueue::send(TimePoint now) {
@@ -49,11 +49,11 @@
 }
 
 void ProposalQueue::tick(TimePoint now) {
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> expired;
   for (const auto &[nonce, it] : Proposals)
     if (now >= it.GiveUpAt)
-      late.push_back(nonce);
-  for (const std::uint64_t it : late)
+      expired.push_back(nonce);
+  for (const std::uint64_t it : expired)
     end(now, it, std::nullopt);
   send(now);
 }
--- a/packages/node/pimentofront/src/Node/ProposalQueue.h
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.h
@@ -28,7 +28,7 @@
       : Network(transport), Leader(leader) {}
 
   /// Adds a command for the replicas to decide. \p done is called once.
-  void add(const Command &command, TimePoint giveUpAt, Callback done);
+  void add(const Command &command, TimePoint proposeUntil, Callback done);
   /// Sends the commands that were not sent on the current link, or were sent
   /// too long ago.
   void send(TimePoint now);
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -8,15 +8,15 @@
 /// Probe periods without a message after which another replica is tried. A
 /// change must be in force everywhere within a few probe periods, even if the
 /// replica that a process subscribes to froze just before it.
-constexpr double SilentProbes = 1.5;
+constexpr double MissedProbes = 1.5;
 /// Lower bound of the silence after which a replica counts as unreachable.
 /// After a power failure, a replica that accepts the connections of all
 /// processes answers none of them for most of a second.
-constexpr Duration LeastSilence = std::chrono::seconds(1);
+constexpr Duration MinSilenceTimeout = std::chrono::seconds(1);
 
-Duration silenceLimit(Duration probePeriod) {
-  return std::max(fromSeconds(toSeconds(probePeriod) * SilentProbes),
-                  LeastSilence);
+Duration silenceTimeout(Duration probePeriod) {
+  return std::max(fromSeconds(toSeconds(probePeriod) * MissedProbes),
+                  MinSilenceTimeout);
 }
 
 } // namespace
@@ -25,7 +25,7 @@
                          Transport &transport)
     : Options(options), Network(transport), Copy(options.Configuration),
       Replica(transport, options.Replicas, options.Incarnation,
-              silenceLimit(options.ProbePeriod)) {}
+              silenceTimeout(options.ProbePeriod)) {}
 
 void ReplicaFeed::onLinkOpen(TimePoint now) {
   Replica.onHeard(now);
@@ -56,22 +56,22 @@
   const auto link = Replica.link(now);
   if (!link || !Subscribed)
     return;
-  Asked = {.Nonce = Copy.beginProbe(now), .AskedAt = now};
+  LastProbe = {.Nonce = Copy.beginProbe(now), .SentAt = now};
   Network.send(*link, ProbeRevision{.Host = Options.Host,
-                                    .Nonce = Asked.Nonce,
+                                    .Nonce = LastProbe.Nonce,
                                     .InForce = Copy.revision()});
 }
 
-void ReplicaFeed::noteQuarantineKnown() {
-  if (Asked.Answer && *Asked.Answer <= Quarantine)
-    KnownAt = Asked.AskedAt;
+void ReplicaFeed::updateQuarantineKnownAsOf() {
+  if (LastProbe.RepliedVersion && *LastProbe.RepliedVersion <= Quarantine)
+    QuarantineKnownAsOf = LastProbe.SentAt;
 }
 
-FeedNews ReplicaFeed::onMessage(TimePoint now, const Message &message) {
+FeedUpdate ReplicaFeed::onMessage(TimePoint now, const Message &message) {
   Replica.onHeard(now);
-  FeedNews news;
+  FeedUpdate news;
   if (const auto *it = std::get_if<ConfigurationUpdate>(&message)) {
-    news.Drains = Copy.apply(*it);
+    news.DrainsChanged = Copy.apply(*it);
     // The update is complete: reports the revision in force at once and has it
     // confirmed.
     if (!it->Partial) {
@@ -81,9 +81,9 @@
   } else if (const auto *reply = std::get_if<ProbeReply>(&message)) {
     Copy.onProbeReply(*reply);
     news.Subscribers = reply->Subscribers;
-    if (reply->Nonce == Asked.Nonce)
-      Asked.Answer = reply->Quarantine;
-    noteQuarantineKnown();
+    if (reply->Nonce == LastProbe.Nonce)
+      LastProbe.RepliedVersion = reply->Quarantine;
+    updateQuarantineKnownAsOf();
   } else if (const auto *members = std::get_if<MemberUpdate>(&message)) {
     if (Members.apply(*members))
       news.Members = *members;
@@ -92,7 +92,7 @@
   } else if (const auto *quarantine = std::get_if<QuarantineUpdate>(&message)) {
     Quarantine = std::max(Quarantine, quarantine->To);
     news.Quarantine = *quarantine;
-    noteQuarantineKnown();
+    updateQuarantineKnownAsOf();
   } else if (const auto *replicas = std::get_if<ReplicaAddresses>(&message)) {
     Replica.setAddresses(replicas->Peers);
   }
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.h
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.h
@@ -21,13 +21,13 @@
   Duration ProbePeriod = std::chrono::seconds(1);
 };
 
-/// \class FeedNews
+/// \class FeedUpdate
 /// \ingroup Node
 /// \brief What a message from a replica changed.
-struct FeedNews {
+struct FeedUpdate {
   bool Configuration = false;
   /// Hosts or zones were taken out of use, or put back into use.
-  bool Drains = false;
+  bool DrainsChanged = false;
   std::optional<MemberUpdate> Members;
   std::optional<QuarantineUpdate> Quarantine;
   /// Number of processes that subscribe to the configuration, this one
@@ -46,15 +46,17 @@
   bool owns(LinkId link) const { return Replica.owns(link); }
   void onLinkOpen(TimePoint now);
   void onLinkClosed(TimePoint now);
-  FeedNews onMessage(TimePoint now, const Message &message);
+  FeedUpdate onMessage(TimePoint now, const Message &message);
   void tick(TimePoint now);
 
   const ConfigurationCopy &configuration() const { return Copy; }
   /// \returns a time such that every decision about the quarantine of requests
   /// made before it is known here; empty until the first such confirmation.
-  std::optional<TimePoint> quarantineKnownAt() const { return KnownAt; }
+  std::optional<TimePoint> quarantineKnownAsOf() const {
+    return QuarantineKnownAsOf;
+  }
   /// Probes at once whether the copies are current.
-  void askNow(TimePoint now) { probe(now); }
+  void probeNow(TimePoint now) { probe(now); }
   /// \returns the addresses of the replicas known now.
   const std::vector<std::string> &replicas() const {
     return Replica.addresses();
@@ -63,7 +65,7 @@
 private:
   void subscribe(TimePoint now);
   void probe(TimePoint now);
-  void noteQuarantineKnown();
+  void updateQuarantineKnownAsOf();
 
   ReplicaFeedOptions Options;
   Transport &Network;
@@ -75,13 +77,13 @@
   /// Version of the quarantine ledger that this process has received.
   std::uint64_t Quarantine = 0;
   /// The last probe, and the quarantine version that its reply named.
-  struct Question {
+  struct ProbeState {
     std::uint64_t Nonce = 0;
-    TimePoint AskedAt;
-    std::optional<std::uint64_t> Answer;
+    TimePoint SentAt;
+    std::optional<std::uint64_t> RepliedVersion;
   };
-  Question Asked;
-  std::optional<TimePoint> KnownAt;
+  ProbeState LastProbe;
+  std::optional<TimePoint> QuarantineKnownAsOf;
 };
 
 } // namespace pimentofront
--- a/packages/node/pimentofront/src/Node/ReplicaNode.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.cpp
@@ -21,7 +21,7 @@
 
 /// \returns whether \p message is a request that a running replica answers at
 /// once.
-bool isQuestion(const Message &message) {
+bool isRequest(const Message &message) {
   return std::holds_alternative<VoteRequest>(message) ||
          std::holds_alternative<AppendRequest>(message) ||
          std::holds_alternative<SnapshotPart>(message) ||
@@ -72,8 +72,8 @@
     Followed = 0;
   if (ReplicaLinks[replica] == link)
     useOtherLink(replica);
-  ReadUnderWay = false;
-  askLeader(now);
+  ReadInFlight = false;
+  requestReadIndex(now);
 }
 
 /// Two replicas that connect to each other at the same time have two links.
@@ -86,7 +86,7 @@
     ReplicaLinks[replica] = other->first;
 }
 
-void ReplicaNode::endSilentLinks(TimePoint now) {
+void ReplicaNode::closeSilentLinks(TimePoint now) {
   for (const LinkId it : Watch.takeSilent(now)) {
     Network.close(it);
     onLinkClosed(now, it);
@@ -97,8 +97,8 @@
                                 const Message &message) {
   const auto known = ReplicaLinks.find(to.Id);
   if (known != ReplicaLinks.end()) {
-    if (isQuestion(message))
-      Watch.noteAsked(now, known->second);
+    if (isRequest(message))
+      Watch.expectReply(now, known->second);
     return Network.send(known->second, message);
   }
   if (to.Address.empty())
@@ -123,7 +123,7 @@
 
 void ReplicaNode::onMessage(TimePoint now, LinkId link,
                             const Message &message) {
-  Watch.noteHeard(link);
+  Watch.recordReceived(link);
   if (onLogMessage(now, link, message) || onLeaderMessage(now, link, message))
     return;
   if (const auto *it = std::get_if<Subscribe>(&message)) {
@@ -182,7 +182,7 @@
     redirect(link);
     return true;
   }
-  noteTerm(now);
+  recordTerm(now);
   if (announce) {
     Members.announce(now, announce->Member);
     answerLease(now, link, announce->Member.Host, true);
@@ -193,10 +193,10 @@
   } else if (demand) {
     AgentLinks[demand->Host] = link;
     Network.send(link, Loads.onDemand(now, *demand));
-    giveTickets(now);
+    issueTickets(now);
   } else if (done) {
     Loads.onDone(now, *done);
-    giveTickets(now);
+    issueTickets(now);
   } else if (allotments) {
     Network.send(link,
                  Allotments.onReport(now, State.configuration(), *allotments));
@@ -224,7 +224,7 @@
                                 .Lease = Options.Members.Lease,
                                 .Members = static_cast<std::uint32_t>(engines),
                                 .Fence = Log.term() << FencesPerTermBits |
-                                         ++FencesGiven});
+                                         ++FencesIssued});
 }
 
 std::string ReplicaNode::leaderAddress() const {
@@ -235,7 +235,7 @@
 void ReplicaNode::announce(TimePoint now, const MemberRecord &member,
                            std::uint64_t sequence) {
   assert(leads(now) && "only the leader maintains the member table");
-  noteTerm(now);
+  recordTerm(now);
   Members.announce(now, member, sequence);
 }
 
@@ -264,7 +264,7 @@
   const Configuration *current = currentConfiguration(now);
   if (!current || !acceptsCommands())
     return false;
-  noteTerm(now);
+  recordTerm(now);
   if (!isProperName(order.Zone.str())) {
     done(CommandOutcome{.Result = CommandResult::Invalid});
     return true;
@@ -333,7 +333,7 @@
   }
   reply.Status = status(now);
   if (leads(now)) {
-    noteTerm(now);
+    recordTerm(now);
     reply.Status.Accounts = Allotments.status(now, State.configuration());
   }
   Network.send(link, reply);
@@ -365,20 +365,20 @@
 
 void ReplicaNode::onProbe(TimePoint now, LinkId link,
                           const ProbeRevision &message) {
-  Listeners.noteInForce(link, message.InForce);
+  Listeners.recordInForce(link, message.InForce);
   // Only a read index that is requested after the probe arrived can confirm it.
   Probes.push_back({link, message.Nonce, ReadRound + 1});
-  askLeader(now);
+  requestReadIndex(now);
 }
 
 /// One read-index request to the leader serves all probes that arrived before
 /// it.
-void ReplicaNode::askLeader(TimePoint now) {
+void ReplicaNode::requestReadIndex(TimePoint now) {
   const bool waiting = std::ranges::any_of(
       Probes, [&](const auto &it) { return it.Round > ReadRound; });
-  if (ReadUnderWay && ReadAskedAt + ReadTimeout < now)
-    ReadUnderWay = false;
-  if (!waiting || ReadUnderWay)
+  if (ReadInFlight && ReadSentAt + ReadTimeout < now)
+    ReadInFlight = false;
+  if (!waiting || ReadInFlight)
     return;
   if (const auto index = Log.readIndex(now)) {
     Reads.push_back(
@@ -388,16 +388,16 @@
   const ReplicaDescriptor *leader = Log.leader();
   if (!leader || leader->Id == Log.id() || !ReplicaLinks.contains(leader->Id))
     return;
-  ReadUnderWay = true;
-  ReadAskedAt = now;
+  ReadInFlight = true;
+  ReadSentAt = now;
   sendToReplica(now, *leader,
                 ReadIndexRequest{Log.id(), ++ReadRound,
-                                 Listeners.followingConfiguration()});
+                                 Listeners.configurationSubscribers()});
 }
 
 void ReplicaNode::onReadIndex(TimePoint now, LinkId link,
                               const ReadIndexRequest &message) {
-  FollowersSubscribers[message.From] = {message.Subscribers, now};
+  SubscribersByFollower[message.From] = {message.Subscribers, now};
   // Without a leader lease there is no answer, and the probes that the follower
   // has received time out.
   if (const auto index = Log.readIndex(now))
@@ -406,19 +406,20 @@
 }
 
 /// Followers with subscribers send a read-index request about once a second.
-/// The count of one that has been silent for longer than Remembered is ignored.
+/// The count of one that has been silent for longer than ReportLifetime is
+/// ignored.
 std::uint32_t ReplicaNode::allSubscribers(TimePoint now) const {
-  constexpr Duration Remembered = std::chrono::seconds(5);
-  std::uint32_t sum = Listeners.followingConfiguration();
-  for (const auto &[replica, it] : FollowersSubscribers)
-    if (now < it.HeardAt + Remembered)
+  constexpr Duration ReportLifetime = std::chrono::seconds(5);
+  std::uint32_t sum = Listeners.configurationSubscribers();
+  for (const auto &[replica, it] : SubscribersByFollower)
+    if (now < it.LastReceivedAt + ReportLifetime)
       sum += it.Count;
   return sum;
 }
 
 void ReplicaNode::onReadIndexReply(const ReadIndexReply &message) {
   if (message.Nonce == ReadRound)
-    ReadUnderWay = false;
+    ReadInFlight = false;
   Reads.push_back(
       {message.Nonce, message.Index, message.Members, message.Subscribers});
   answerProbes();
@@ -454,12 +455,12 @@
   return done;
 }
 
-void ReplicaNode::noteTerm(TimePoint now) {
+void ReplicaNode::recordTerm(TimePoint now) {
   Allotments.lead(now, Log.term());
   if (LedTerm == Log.term())
     return;
   LedTerm = Log.term();
-  FencesGiven = 0;
+  FencesIssued = 0;
   Members.beginTerm(now, LedTerm);
   Evacuations.lead(now, LedTerm);
   Loads = LoadScheduler(Options.Loads);
@@ -498,7 +499,7 @@
                                        .WantsMembers = true});
 }
 
-void ReplicaNode::giveTickets(TimePoint now) {
+void ReplicaNode::issueTickets(TimePoint now) {
   for (const IssuedTicket &it : Loads.run(now)) {
     const auto link = AgentLinks.find(it.Host);
     if (link != AgentLinks.end())
@@ -509,18 +510,18 @@
 void ReplicaNode::tick(TimePoint now) {
   if (!Failure)
     Log.tick(now, Wall.milliseconds());
-  Allotments.noteTerm(now, Log.term());
-  endSilentLinks(now);
+  Allotments.recordTerm(now, Log.term());
+  closeSilentLinks(now);
   join(now);
   followLeader(now);
   if (leads(now)) {
-    noteTerm(now);
+    recordTerm(now);
     for (const HostName &it : Members.expire(now))
       Loads.forgetHost(it);
-    giveTickets(now);
+    issueTickets(now);
     reviewQuarantine(now);
   }
-  askLeader(now);
+  requestReadIndex(now);
   flush(now);
 }
 
--- a/packages/node/pimentofront/src/Node/ReplicaNode.h
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.h
@@ -119,9 +119,9 @@
     std::uint32_t Subscribers = 0;
   };
   /// The number of subscribers that a follower last reported.
-  struct FollowerSubscribers {
+  struct FollowerReport {
     std::uint32_t Count = 0;
-    TimePoint HeardAt;
+    TimePoint LastReceivedAt;
   };
 
   bool onLogMessage(TimePoint now, LinkId link, const Message &message);
@@ -138,15 +138,15 @@
   void sendToReplica(TimePoint now, const ReplicaDescriptor &to,
                      const Message &message);
   /// Closes links to replicas that no longer deliver messages.
-  void endSilentLinks(TimePoint now);
+  void closeSilentLinks(TimePoint now);
   std::uint32_t allSubscribers(TimePoint now) const;
   void answerProbes();
-  void askLeader(TimePoint now);
+  void requestReadIndex(TimePoint now);
   void followLeader(TimePoint now);
-  void noteTerm(TimePoint now);
+  void recordTerm(TimePoint now);
   void applyEntry(TimePoint now, const LogEntry &entry);
   void compactIfDue();
-  void giveTickets(TimePoint now);
+  void issueTickets(TimePoint now);
   void reviewQuarantine(TimePoint now);
   void join(TimePoint now);
   bool acceptsCommands() const;
@@ -180,17 +180,17 @@
   std::map<LogIndex, PendingProposal> Proposals;
   std::vector<PendingProbe> Probes;
   std::vector<PendingRead> Reads;
-  std::map<ReplicaId, FollowerSubscribers> FollowersSubscribers;
+  std::map<ReplicaId, FollowerReport> SubscribersByFollower;
   std::uint64_t ReadRound = 0;
-  bool ReadUnderWay = false;
-  TimePoint ReadAskedAt;
+  bool ReadInFlight = false;
+  TimePoint ReadSentAt;
   /// Leader from which this follower receives the members, 0 if none, and the
   /// term in which it subscribed.
   ReplicaId Followed = 0;
   Term FollowedTerm = 0;
   Term LedTerm = 0;
   /// Number of fencing tokens issued in this term.
-  std::uint64_t FencesGiven = 0;
+  std::uint64_t FencesIssued = 0;
   /// Bytes of entries applied since the last snapshot.
   std::size_t BytesSinceSnapshot = 0;
   std::vector<std::string> PushedAddresses;
--- a/packages/node/pimentofront/src/Node/Subscribers.cpp
+++ b/packages/node/pimentofront/src/Node/Subscribers.cpp
@@ -7,7 +7,7 @@
 
 /// Maximum number of records in one message; a larger difference is sent in
 /// parts.
-constexpr std::size_t RecordsInPart = 2000;
+constexpr std::size_t MaxRecordsPerPart = 2000;
 
 /// Sends the difference since \p since in parts, so that it never has to be in
 /// memory as a whole.
@@ -18,7 +18,7 @@
   std::size_t parts = 0;
   ConfigurationUpdate part{.UpTo = configuration.revision()};
   configuration.forEachChanged(since, [&](const ConfigurationRecord &it) {
-    if (part.Records.size() == RecordsInPart) {
+    if (part.Records.size() == MaxRecordsPerPart) {
       part.Partial = true;
       send(std::exchange(part, {.UpTo = configuration.revision()}));
       ++parts;
@@ -42,7 +42,7 @@
 
 void Subscribers::remove(LinkId link) { All.erase(link); }
 
-void Subscribers::noteInForce(LinkId link, Revision revision) {
+void Subscribers::recordInForce(LinkId link, Revision revision) {
   const auto it = All.find(link);
   if (it != All.end())
     it->second.InForce = revision;
@@ -88,7 +88,7 @@
     // memory of a whole configuration while it is being sent.
     const Revision missing = configuration.revision() - subscriber.Known;
     const bool lacks = subscriber.Known < configuration.revision();
-    const bool large = lacks && missing > RecordsInPart;
+    const bool large = lacks && missing > MaxRecordsPerPart;
     if (lacks && !(large && sentLarge)) {
       pushConfiguration(link, subscriber, configuration);
       sentLarge = sentLarge || large;
@@ -108,7 +108,7 @@
       Network.send(link, message);
 }
 
-std::uint32_t Subscribers::followingConfiguration() const {
+std::uint32_t Subscribers::configurationSubscribers() const {
   return static_cast<std::uint32_t>(std::ranges::count_if(
       All, [](const auto &it) { return it.second.Known != MembersOnly; }));
 }
--- a/packages/node/pimentofront/src/Node/Subscribers.h
+++ b/packages/node/pimentofront/src/Node/Subscribers.h
@@ -20,7 +20,7 @@
 
   void add(LinkId link, const Subscribe &subscribe);
   void remove(LinkId link);
-  void noteInForce(LinkId link, Revision revision);
+  void recordInForce(LinkId link, Revision revision);
   /// Sends each subscriber the changes that it lacks.
   void push(const Configuration &configuration, const MemberTable &members,
             const QuarantineLedger &quarantine);
@@ -29,7 +29,7 @@
   std::vector<RevisionInForce> inForce() const;
   /// \returns the number of subscribers to the configuration; those to the
   /// members only don't count.
-  std::uint32_t followingConfiguration() const;
+  std::uint32_t configurationSubscribers() const;
   std::size_t size() const { return All.size(); }
 
 private:
--- a/test/NodeTest.cpp
+++ b/test/NodeTest.cpp
@@ -126,8 +126,8 @@
 // After a power failure agents start before the replicas do. The first packet
 // of a connection to a replica that is not up yet is repeated only after a
 // second.
-TEST_CASE(
-    "an agent whose first link doesn't open announces itself on the next one") {
+TEST_CASE("an agent whose first link doesn't open announces itself on the next "
+          "at once") {
   RecordingTransport transport;
   NoDriver driver;
   LeastPopular eviction;
@@ -148,11 +148,11 @@
 TEST_CASE("a link is silent if nothing arrives after a request on it") {
   const TimePoint now{100s};
   LinkWatch watch(1s);
-  watch.noteAsked(now, 1);
-  watch.noteAsked(now, 2);
-  watch.noteAsked(now + 900ms, 2);
-  watch.noteHeard(1);
-  watch.noteAsked(now + 900ms, 1);
+  watch.expectReply(now, 1);
+  watch.expectReply(now, 2);
+  watch.expectReply(now + 900ms, 2);
+  watch.recordReceived(1);
+  watch.expectReply(now + 900ms, 1);
   CHECK(watch.takeSilent(now + 999ms).empty());
   CHECK(watch.takeSilent(now + 1000ms) == std::vector<LinkId>{2});
   CHECK(watch.takeSilent(now + 1001ms).empty());
