--- a/packages/node/pimentofront/src/Node/LeaderLink.h
+++ b/packages/node/pimentofront/src/Node/LeaderLink.h
@@ -50,7 +50,7 @@
   /// \returns the time within which the link has to open.
   Duration openTimeout() const;
   /// \returns the next address in turn, skipping the one that timed out last: a
-  /// frozen host still accepts connections.
+  /// stalled host still accepts connections.
   std::string nextAddress();
 
   Transport &Network;
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -7,7 +7,7 @@
 
 /// Probe periods without a message after which another replica is tried. A
 /// change must be in force everywhere within a few probe periods, even if the
-/// replica that a process subscribes to froze just before it.
+/// replica that a process subscribes to stalled just before it.
 constexpr double MissedProbes = 1.5;
 /// Lower bound of the silence after which a replica counts as unreachable.
 /// After a power failure, a replica that accepts the connections of all
