--- a/packages/node/pimentofront/src/Node/AgentLinks.h
+++ b/packages/node/pimentofront/src/Node/AgentLinks.h
@@ -30,7 +30,7 @@
   /// \returns the link, or null if it isn't a link to an agent.
   const AgentLink *find(LinkId link) const;
   void onOpen(LinkId link);
-  void onHeard(LinkId link) { Watch.recordReceived(link); }
+  void onReceived(LinkId link) { Watch.recordReceived(link); }
   /// Removes a closed link.
   /// \returns the agent that it led to.
   AgentLink onClosed(LinkId link);
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -49,7 +49,7 @@
 
 void AgentNode::onLinkOpen(TimePoint now, LinkId link, const Hello &) {
   if (Leader.owns(link))
-    Leader.onHeard(now);
+    Leader.onReceived(now);
   else
     Entries.insert(link);
 }
@@ -61,14 +61,14 @@
   }
   if (Entries.erase(link) == 0)
     return;
-  Controller.onEntryGone(now, link);
+  Controller.onEntryDisconnected(now, link);
   flush(now);
 }
 
 void AgentNode::onMessage(TimePoint now, LinkId link, const Message &message) {
   const bool fromLeader = Leader.owns(link);
   if (fromLeader)
-    Leader.onHeard(now);
+    Leader.onReceived(now);
   if (fromLeader)
     onLeaderMessage(now, message);
   else
@@ -78,7 +78,7 @@
 
 void AgentNode::onEntryMessage(TimePoint now, LinkId link,
                                const Message &message) {
-  Controller.onHeard(now, link);
+  Controller.onReceived(now, link);
   if (const auto *it = std::get_if<ExecuteRequest>(&message)) {
     onExecute(now, link, *it);
   } else if (const auto *cancel = std::get_if<CancelAttempt>(&message)) {
@@ -87,7 +87,7 @@
     onReleased(now, *released);
   } else if (const auto *began = std::get_if<AttemptBegan>(&message)) {
     Controller.onBegan(now, *began);
-  } else if (const auto *limit = std::get_if<RateLimitSeen>(&message)) {
+  } else if (const auto *limit = std::get_if<RateLimitReport>(&message)) {
     Controller.onRateLimitSeen(now, *limit);
   } else if (const auto *profile = std::get_if<EngineProfile>(&message)) {
     applyProfile(now, *profile);
@@ -103,7 +103,7 @@
                                        .Load = Controller.figures(now)});
   if (!request.Server.empty()) {
     // What was learned of a former process doesn't apply to this one.
-    if (!Process.empty() && !maybeSame(Process, request.server()))
+    if (!Process.empty() && !mayBeSameProcess(Process, request.server()))
       Controller.onProcessChanged();
     Process = request.server();
   }
@@ -117,8 +117,8 @@
   // request for the next process is also refused while this agent doesn't know
   // that process yet, because the agent's state still describes the former one.
   const ServerProcess current{process.Name, EngineStartedAt};
-  if (bothTellStart(process, current))
-    return !maybeSame(process, current);
+  if (bothStartsKnown(process, current))
+    return !mayBeSameProcess(process, current);
   const auto it = FormerProcesses.find(process);
   return it != FormerProcesses.end() &&
          now < it->second + Options.FormerProcessRetention;
@@ -155,7 +155,8 @@
     return Driver.generate(request);
   Network.send(it->second,
                AttemptPermit{request.Attempt, Controller.figures(now),
-                             Controller.rateLimit(now), Controller.pace(now)});
+                             Controller.rateLimit(now),
+                             Controller.requestInterval(now)});
 }
 
 void AgentNode::cancelWork(TimePoint now, const AttemptId &attempt) {
@@ -234,7 +235,7 @@
 
 void AgentNode::sayGoodbye(TimePoint now) { announce(now, /*gone=*/true); }
 
-Duration AgentNode::leaseLeft(TimePoint now) const {
+Duration AgentNode::remainingLease(TimePoint now) const {
   return std::max(LeasedUntil - now, Duration::zero());
 }
 
--- a/packages/node/pimentofront/src/Node/AgentNode.h
+++ b/packages/node/pimentofront/src/Node/AgentNode.h
@@ -78,7 +78,7 @@
   /// The process that entries named has exited; another one may have started.
   void onEngineRestarted(TimePoint now);
   /// \returns the remaining time of the lease on membership.
-  Duration leaseLeft(TimePoint now) const;
+  Duration remainingLease(TimePoint now) const;
 
 private:
   void onLeaderMessage(TimePoint now, const Message &message);
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -34,7 +34,7 @@
   if (Feed.owns(link))
     Feed.onLinkOpen(now);
   else if (Leader.owns(link))
-    Leader.onHeard(now);
+    Leader.onReceived(now);
   else
     Agents.onOpen(link);
 }
@@ -62,7 +62,7 @@
 void EntryNode::onReplicaMessage(TimePoint now, const Message &message) {
   const FeedUpdate news = Feed.onMessage(now, message);
   if (news.DrainsChanged)
-    Controller.onDrains();
+    Controller.onDrainsChanged();
   if (news.Members) {
     Controller.onMembers(now, *news.Members);
     dropStaleAgentLinks(now);
@@ -95,13 +95,13 @@
   if (Feed.owns(link)) {
     onReplicaMessage(now, message);
   } else if (Leader.owns(link)) {
-    Leader.onHeard(now);
+    Leader.onReceived(now);
     if (const auto *decided = std::get_if<ProposeReply>(&message))
       Proposals.onReply(now, *decided);
     if (const auto *redirect = std::get_if<NotLeader>(&message))
       Proposals.onRedirect(now, *redirect);
   } else if (const AgentLink *agent = Agents.find(link)) {
-    Agents.onHeard(link);
+    Agents.onReceived(link);
     onAgentMessage(now, HostName(agent->Host), message);
   }
   flush(now);
@@ -159,7 +159,7 @@
 }
 
 void EntryNode::callerGone(TimePoint now, RequestKey key) {
-  Controller.onCallerGone(now, key);
+  Controller.onCallerDisconnected(now, key);
   flush(now);
 }
 
@@ -173,7 +173,7 @@
       Sink.onFinal(final->Key, final->Kind, final->Answer);
     else if (const auto *proposal = std::get_if<ProposeCommand>(&command))
       Proposals.add(
-          proposal->Proposal, proposal->GiveUpAt,
+          proposal->Proposal, proposal->ProposeUntil,
           [this, nonce = proposal->Nonce](TimePoint at, const auto &outcome) {
             Controller.onDecision(at, nonce, outcome);
           });
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -48,9 +48,9 @@
   if (Feed.owns(link))
     Feed.onLinkOpen(now);
   else if (Leader.owns(link))
-    Leader.onHeard(now);
+    Leader.onReceived(now);
   else if (Ledger.owns(link))
-    Ledger.onHeard(now);
+    Ledger.onReceived(now);
   else
     Agents.onOpen(link);
 }
@@ -81,7 +81,7 @@
   } else if (Ledger.owns(link)) {
     onLedgerMessage(now, message);
   } else if (const AgentLink *agent = Agents.find(link)) {
-    Agents.onHeard(link);
+    Agents.onReceived(link);
     onAgentMessage(now, HostName(agent->Host), message);
   }
   flush(now);
@@ -92,7 +92,7 @@
   if (news.Quarantine)
     Controller.quarantine().onUpdate(*news.Quarantine);
   if (Feed.quarantineKnownAsOf())
-    Controller.quarantine().onKnown(*Feed.quarantineKnownAsOf());
+    Controller.quarantine().onCaughtUp(*Feed.quarantineKnownAsOf());
   if (news.Members) {
     Controller.onMembers(now, *news.Members);
     dropLinks(now, Agents.staleLinks(Controller.board().Servers.agents()));
@@ -100,7 +100,7 @@
   if (news.DrainsChanged)
     Controller.onEvacuatedZones(now, evacuatedZones());
   if (news.Subscribers)
-    Controller.onEntries(now, *news.Subscribers);
+    Controller.onEntryCount(now, *news.Subscribers);
   if (std::holds_alternative<ReplicaAddresses>(message)) {
     Leader.setAddresses(Feed.replicas());
     Ledger.setAddresses(Feed.replicas());
@@ -117,7 +117,7 @@
 }
 
 void ForwardNode::onLeaderMessage(TimePoint now, const Message &message) {
-  Leader.onHeard(now);
+  Leader.onReceived(now);
   if (const auto *decided = std::get_if<ProposeReply>(&message))
     Proposals.onReply(now, *decided);
   else if (const auto *redirect = std::get_if<NotLeader>(&message))
@@ -125,7 +125,7 @@
 }
 
 void ForwardNode::onLedgerMessage(TimePoint now, const Message &message) {
-  Ledger.onHeard(now);
+  Ledger.onReceived(now);
   if (const auto *grants = std::get_if<AllotmentGrants>(&message)) {
     Controller.onAllotmentGrants(now, *grants);
   } else if (const auto *permit = std::get_if<SendPermitReply>(&message)) {
@@ -167,9 +167,9 @@
 
 void ForwardNode::detectPause(TimePoint now) {
   if (LastCall && now >= *LastCall + StallGap)
-    Controller.attempts().onStop(now - *LastCall);
+    Controller.attempts().onStall(now - *LastCall);
   if (LastCall && now >= *LastCall + SuspendGap) {
-    Controller.quarantine().onWake(now);
+    Controller.quarantine().onResume(now);
     Feed.probeNow(now);
   }
   LastCall = now;
@@ -238,14 +238,14 @@
   if (!service || !service->Engine || service->Engine->Models.empty())
     return;
   const EngineSpec &engine = *service->Engine;
-  Agents.send(now,
-              {host, address,
-               EngineProfile{.At = board.Table->revision(),
-                             .BaseModel = engine.Models.front().Name,
-                             .AdapterSlots = engine.AdapterSlots,
-                             .BatchCapacity = engine.BatchCapacity,
-                             .CacheTokens = engine.CacheTokens,
-                             .Cold = service->coldFor(service->ColdTime)}});
+  Agents.send(
+      now, {host, address,
+            EngineProfile{.At = board.Table->revision(),
+                          .BaseModel = engine.Models.front().Name,
+                          .AdapterSlots = engine.AdapterSlots,
+                          .BatchCapacity = engine.BatchCapacity,
+                          .CacheTokens = engine.CacheTokens,
+                          .Cold = service->coldStartFor(service->ColdTime)}});
 }
 
 void ForwardNode::sendToAgent(TimePoint now, const SendToAgent &message) {
@@ -266,14 +266,14 @@
 
 void ForwardNode::callerGone(TimePoint now, std::uint64_t key) {
   detectPause(now);
-  Controller.onCallerGone(now, key);
+  Controller.onCallerDisconnected(now, key);
   flush(now);
 }
 
-HeadVerdict ForwardNode::upstreamHead(TimePoint now, const AttemptId &attempt,
-                                      ResponseHead head) {
+HeadDecision ForwardNode::upstreamHead(TimePoint now, const AttemptId &attempt,
+                                       ResponseHead head) {
   detectPause(now);
-  const HeadVerdict verdict =
+  const HeadDecision verdict =
       Controller.answers().onHead(now, attempt, std::move(head));
   flush(now);
   return verdict;
@@ -293,7 +293,7 @@
 }
 
 void ForwardNode::serverChecked(TimePoint now, const ServerProcess &server,
-                                ServerLife life) {
+                                ServerCheckResult life) {
   detectPause(now);
   Controller.onServerChecked(now, server, life);
   flush(now);
--- a/packages/node/pimentofront/src/Node/ForwardNode.h
+++ b/packages/node/pimentofront/src/Node/ForwardNode.h
@@ -52,15 +52,15 @@
   void request(TimePoint now, std::uint64_t key, RequestHead head,
                std::string body, const ContentHash &bodyHash);
   void callerGone(TimePoint now, std::uint64_t key);
-  HeadVerdict upstreamHead(TimePoint now, const AttemptId &attempt,
-                           ResponseHead head);
+  HeadDecision upstreamHead(TimePoint now, const AttemptId &attempt,
+                            ResponseHead head);
   void upstreamBody(TimePoint now, const AttemptId &attempt,
                     std::string_view bytes);
   void upstreamEnd(TimePoint now, const AttemptId &attempt,
                    UpstreamEnding ending);
   /// Reports the result of a CheckServer command.
   void serverChecked(TimePoint now, const ServerProcess &server,
-                     ServerLife life);
+                     ServerCheckResult life);
 
   /// \returns whether requests can be served now and for some time to come.
   bool ready(TimePoint now) {
--- a/packages/node/pimentofront/src/Node/LeaderLink.cpp
+++ b/packages/node/pimentofront/src/Node/LeaderLink.cpp
@@ -67,7 +67,7 @@
     RetryAt = now;
 }
 
-void LeaderLink::onHeard(TimePoint now) {
+void LeaderLink::onReceived(TimePoint now) {
   LastReceivedAt = now;
   Opened = true;
   FailedOpens = 0;
--- a/packages/node/pimentofront/src/Node/LeaderLink.h
+++ b/packages/node/pimentofront/src/Node/LeaderLink.h
@@ -34,7 +34,7 @@
   const std::vector<std::string> &addresses() const { return Addresses; }
   bool owns(LinkId link) const { return Link && *Link == link; }
   /// The link opened, or a message arrived on it.
-  void onHeard(TimePoint now);
+  void onReceived(TimePoint now);
   void onClosed(TimePoint now);
   /// The connected replica is not the leader; \p address is the leader's, if it
   /// isn't empty.
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.cpp
@@ -13,7 +13,7 @@
   LastTermSince = now;
 }
 
-void LedgerKeeper::lead(TimePoint now, Term term) {
+void LedgerKeeper::startLeading(TimePoint now, Term term) {
   if (LedTerm == term)
     return;
   recordTerm(now, term);
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.h
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.h
@@ -21,12 +21,12 @@
   /// This replica leads in \p term and holds the leader lease. Starts the
   /// ledger at once rather than at the first report, so that its buckets
   /// already fill.
-  void lead(TimePoint now, Term term);
-  /// \pre lead() was called for \p term.
+  void startLeading(TimePoint now, Term term);
+  /// \pre startLeading() was called for \p term.
   AllotmentGrants onReport(TimePoint now, const Configuration &configuration,
                            const AllotmentReport &report);
   /// \returns the state of the accounts, for operators.
-  /// \pre lead() was called for the current term.
+  /// \pre startLeading() was called for the current term.
   std::vector<AccountStatus> status(TimePoint now,
                                     const Configuration &configuration);
 
@@ -35,7 +35,7 @@
 
   AllotmentRules Rules;
   const DocumentCodec *Documents;
-  LeasesByUse Sizing;
+  UsageBasedLeases Sizing;
   AllotmentLedger Ledger;
   Term LedTerm = 0;
   /// The newest term observed, when it was first observed, and whether no other
--- a/packages/node/pimentofront/src/Node/ProposalQueue.cpp
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.cpp
@@ -10,8 +10,9 @@
 
 void ProposalQueue::add(const Command &command, TimePoint proposeUntil,
                         Callback done) {
-  Proposals[++LastNonce] = {
-      .Content = command, .GiveUpAt = proposeUntil, .Done = std::move(done)};
+  Proposals[++LastNonce] = {.Content = command,
+                            .ProposeUntil = proposeUntil,
+                            .Done = std::move(done)};
 }
 
 void ProposalQueue::send(TimePoint now) {
@@ -51,7 +52,7 @@
 void ProposalQueue::tick(TimePoint now) {
   std::vector<std::uint64_t> expired;
   for (const auto &[nonce, it] : Proposals)
-    if (now >= it.GiveUpAt)
+    if (now >= it.ProposeUntil)
       expired.push_back(nonce);
   for (const std::uint64_t it : expired)
     end(now, it, std::nullopt);
--- a/packages/node/pimentofront/src/Node/ProposalQueue.h
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.h
@@ -43,7 +43,7 @@
 private:
   struct Proposal {
     Command Content;
-    TimePoint GiveUpAt;
+    TimePoint ProposeUntil;
     /// Link on which the command was sent last, and when.
     LinkId SentOn = 0;
     TimePoint SentAt;
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -28,7 +28,7 @@
               silenceTimeout(options.ProbePeriod)) {}
 
 void ReplicaFeed::onLinkOpen(TimePoint now) {
-  Replica.onHeard(now);
+  Replica.onReceived(now);
   subscribe(now);
 }
 
@@ -68,7 +68,7 @@
 }
 
 FeedUpdate ReplicaFeed::onMessage(TimePoint now, const Message &message) {
-  Replica.onHeard(now);
+  Replica.onReceived(now);
   FeedUpdate news;
   if (const auto *it = std::get_if<ConfigurationUpdate>(&message)) {
     news.DrainsChanged = Copy.apply(*it);
--- a/packages/node/pimentofront/src/Node/ReplicaNode.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.cpp
@@ -201,7 +201,7 @@
     Network.send(link,
                  Allotments.onReport(now, State.configuration(), *allotments));
   } else if (permit) {
-    SendPermits.lead(Log.term());
+    SendPermits.startLeading(Log.term());
     Network.send(link, SendPermits.onQuery(now, *permit));
   } else {
     onPropose(now, link, *proposal);
@@ -265,27 +265,27 @@
   if (!current || !acceptsCommands())
     return false;
   recordTerm(now);
-  if (!isProperName(order.Zone.str())) {
+  if (!isValidName(order.Zone.str())) {
     done(CommandOutcome{.Result = CommandResult::Invalid});
     return true;
   }
-  switch (Evacuations.judge(now, *current, order.Zone, order.Evacuated)) {
-  case EvacuationVerdict::InForce:
-    Evacuations.noteTaken(now, order.Zone, order.Evacuated);
+  switch (Evacuations.evaluate(now, *current, order.Zone, order.Evacuated)) {
+  case EvacuationDecision::InForce:
+    Evacuations.recordAcknowledged(now, order.Zone, order.Evacuated);
     done(CommandOutcome{.At = current->revision()});
     return true;
-  case EvacuationVerdict::MaybeLate:
+  case EvacuationDecision::PossiblyStale:
     done(std::nullopt);
     return true;
-  case EvacuationVerdict::New:
+  case EvacuationDecision::New:
     break;
   }
   // Recorded before the proposal, because a group of one replica applies it at
   // once.
-  Evacuations.noteProposed(order.Zone);
+  Evacuations.recordProposed(order.Zone);
   const bool proposed = propose(now, Command{.Body = order}, std::move(done));
   if (!proposed)
-    Evacuations.noteNotProposed(order.Zone);
+    Evacuations.recordProposalFailed(order.Zone);
   return proposed;
 }
 
@@ -456,13 +456,13 @@
 }
 
 void ReplicaNode::recordTerm(TimePoint now) {
-  Allotments.lead(now, Log.term());
+  Allotments.startLeading(now, Log.term());
   if (LedTerm == Log.term())
     return;
   LedTerm = Log.term();
   FencesIssued = 0;
   Members.beginTerm(now, LedTerm);
-  Evacuations.lead(now, LedTerm);
+  Evacuations.startLeading(now, LedTerm);
   Loads = LoadScheduler(Options.Loads);
   Review.reset();
 }
@@ -517,7 +517,7 @@
   if (leads(now)) {
     recordTerm(now);
     for (const HostName &it : Members.expire(now))
-      Loads.forgetHost(it);
+      Loads.removeHost(it);
     issueTickets(now);
     reviewQuarantine(now);
   }
@@ -540,7 +540,7 @@
     outcome = State.apply(entry.WallMilliseconds, *command);
   if (outcome.Result == CommandResult::Accepted)
     if (const auto *it = std::get_if<EvacuateZone>(&command->Body))
-      Evacuations.noteTaken(now, it->Zone, it->Evacuated);
+      Evacuations.recordAcknowledged(now, it->Zone, it->Evacuated);
   const auto it = Proposals.find(entry.Index);
   if (it == Proposals.end())
     return;
@@ -600,7 +600,7 @@
 }
 
 void ReplicaNode::compactIfDue() {
-  const bool due = Log.entriesHeld() >= Options.CompactAfter ||
+  const bool due = Log.entryCount() >= Options.CompactAfter ||
                    BytesSinceSnapshot >= Options.CompactAfterBytes;
   if (!due || Failure)
     return;
--- a/test/ApiTest.cpp
+++ b/test/ApiTest.cpp
@@ -54,7 +54,7 @@
                            .Message = "a \"quoted\" reason",
                            .NotRun = true,
                            .Reason = "load_backlog",
-                           .ComeBack = 2100ms};
+                           .RetryAfter = 2100ms};
   const std::string json = encodeConnectError(error);
   CHECK(json.find("\"code\":\"unavailable\"") != std::string::npos);
   CHECK(json.find("\\\"quoted\\\"") != std::string::npos);
