--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -37,10 +37,12 @@
   Network.send(*link, Announce{record(gone)});
 }
 
-/// The link to the leader is gone. Without this an agent whose first packet met
-/// a replica that wasn't up yet was silent for a whole renewal period: after a
-/// loss of power the engines' base models were ordered 0.7 s later.
-void AgentNode::announceAnew(TimePoint now) {
+/// Announces this agent in full at the next chance, after the link to the
+/// leader was lost or redirected. If it waited for the next renewal instead, an
+/// agent whose first packet reached a replica that was not up yet would be
+/// silent for a whole renewal period: after a power failure this delayed the
+/// loads of the engines' base models by 0.7 s.
+void AgentNode::scheduleAnnouncement(TimePoint now) {
   Announced = false;
   NextRenewal = now;
 }
@@ -55,7 +57,7 @@
 void AgentNode::onLinkClosed(TimePoint now, LinkId link) {
   if (Leader.owns(link)) {
     Leader.onClosed(now);
-    return announceAnew(now);
+    return scheduleAnnouncement(now);
   }
   if (Entries.erase(link) == 0)
     return;
@@ -88,19 +90,19 @@
   } else if (const auto *limit = std::get_if<RateLimitReport>(&message)) {
     Controller.onRateLimitSeen(now, *limit);
   } else if (const auto *profile = std::get_if<EngineProfile>(&message)) {
-    takeProfile(now, *profile);
+    applyProfile(now, *profile);
   }
 }
 
 void AgentNode::onExecute(TimePoint now, LinkId link,
                           const ExecuteRequest &request) {
-  if (hasEnded(now, request.server()))
+  if (hasExited(now, request.server()))
     return Network.send(link,
                         AttemptRefused{.Attempt = request.Attempt,
                                        .Reason = RefusalReason::BackendDown,
                                        .Load = Controller.figures(now)});
   if (!request.Server.empty()) {
-    // What was learned of a former process doesn't hold for this one.
+    // What was learned of a former process doesn't apply to this one.
     if (!Process.empty() && !mayBeSameProcess(Process, request.server()))
       Controller.onProcessChanged();
     Process = request.server();
@@ -110,23 +112,23 @@
   Controller.onExecute(now, link, request);
 }
 
-bool AgentNode::hasEnded(TimePoint now, const ServerProcess &process) const {
-  // Where both tell, it is certain which process is meant. An entry that knows
-  // of the next one before this agent does has its request refused, too: what
-  // is held here is what the former one held.
+bool AgentNode::hasExited(TimePoint now, const ServerProcess &process) const {
+  // If both start times are known, it is certain which process is meant. A
+  // request for the next process is also refused while this agent doesn't know
+  // that process yet, because the agent's state still describes the former one.
   const ServerProcess current{process.Name, EngineStartedAt};
   if (bothStartsKnown(process, current))
     return !mayBeSameProcess(process, current);
   const auto it = FormerProcesses.find(process);
   return it != FormerProcesses.end() &&
-         now < it->second + Options.FormerProcessKept;
+         now < it->second + Options.FormerProcessRetention;
 }
 
 void AgentNode::onEngineRestarted(TimePoint now) {
   if (Process.empty())
     return;
   std::erase_if(FormerProcesses, [&](const auto &it) {
-    return now >= it.second + Options.FormerProcessKept;
+    return now >= it.second + Options.FormerProcessRetention;
   });
   FormerProcesses[Process] = now;
   Process = ServerProcess();
@@ -137,7 +139,7 @@
   Controller.onReleased(now, message);
 }
 
-void AgentNode::takeProfile(TimePoint now, const EngineProfile &profile) {
+void AgentNode::applyProfile(TimePoint now, const EngineProfile &profile) {
   if (profile.At <= Profile.At)
     return;
   Profile = profile;
@@ -146,7 +148,7 @@
     ProfileAction(profile);
 }
 
-/// An attempt that its entry sends itself needs only the word that it may.
+/// An entry that sends an attempt to the engine itself only needs the permit.
 void AgentNode::start(TimePoint now, const ExecuteRequest &request) {
   const auto it = Delegated.find(request.Attempt);
   if (it == Delegated.end())
@@ -160,7 +162,7 @@
 void AgentNode::cancelWork(TimePoint now, const AttemptId &attempt) {
   if (Delegated.erase(attempt) == 0)
     return Driver.cancel(attempt);
-  // The entry ends its own connection to the engine.
+  // The entry closes its own connection to the engine.
   Controller.onReleased(now, {attempt, ReleaseKind::BrokeOff});
 }
 
@@ -174,7 +176,7 @@
     Controller.onMembers(lease->Members);
   } else if (const auto *redirect = std::get_if<NotLeader>(&message)) {
     Leader.onRedirect(now, redirect->LeaderAddress);
-    announceAnew(now);
+    scheduleAnnouncement(now);
   } else if (const auto *replicas = std::get_if<ReplicaAddresses>(&message)) {
     Leader.setAddresses(replicas->Peers);
   } else if (const auto *ticket = std::get_if<LoadTicket>(&message)) {
@@ -186,7 +188,7 @@
 
 void AgentNode::tick(TimePoint now) {
   if (Leader.tick(now))
-    announceAnew(now);
+    scheduleAnnouncement(now);
   if (now >= NextRenewal)
     announce(now, /*gone=*/false);
   Controller.tick(now);
@@ -199,14 +201,14 @@
 }
 
 void AgentNode::flush(TimePoint now) {
-  // Ending delegated work may lead to further decisions.
+  // Cancelling delegated work may lead to further commands.
   for (auto commands = Controller.takeCommands(); !commands.empty();
        commands = Controller.takeCommands())
     for (const AgentCommand &command : commands)
-      carryOut(now, command);
+      execute(now, command);
 }
 
-void AgentNode::carryOut(TimePoint now, const AgentCommand &command) {
+void AgentNode::execute(TimePoint now, const AgentCommand &command) {
   if (const auto *it = std::get_if<SendToEntry>(&command))
     Network.send(it->Entry, it->Content);
   else if (const auto *message = std::get_if<SendToScheduler>(&command))
--- a/packages/node/pimentofront/src/Node/ProposalQueue.cpp
+++ b/packages/node/pimentofront/src/Node/ProposalQueue.cpp
@@ -3,15 +3,16 @@
 namespace pimentofront {
 namespace {
 
-/// A proposal without an answer is sent again.
+/// Time after which a proposal without a reply is sent again.
 constexpr Duration ResendPeriod = std::chrono::milliseconds(500);
 
 } // namespace
 
-void ProposalQueue::add(const Command &command, TimePoint giveUpAt,
+void ProposalQueue::add(const Command &command, TimePoint proposeUntil,
                         Callback done) {
-  Proposals[++LastNonce] = {
-      .Content = command, .ProposeUntil = giveUpAt, .Done = std::move(done)};
+  Proposals[++LastNonce] = {.Content = command,
+                            .ProposeUntil = proposeUntil,
+                            .Done = std::move(done)};
 }
 
 void ProposalQueue::send(TimePoint now) {
@@ -38,7 +39,7 @@
 }
 
 void ProposalQueue::onReply(TimePoint now, const ProposeReply &reply) {
-  // Undecided ones are sent again.
+  // Undecided commands are sent again.
   if (reply.Decided && Proposals.contains(reply.Nonce))
     end(now, reply.Nonce, reply.Outcome);
 }
@@ -49,11 +50,11 @@
 }
 
 void ProposalQueue::tick(TimePoint now) {
-  std::vector<std::uint64_t> late;
+  std::vector<std::uint64_t> expired;
   for (const auto &[nonce, it] : Proposals)
     if (now >= it.ProposeUntil)
-      late.push_back(nonce);
-  for (const std::uint64_t it : late)
+      expired.push_back(nonce);
+  for (const std::uint64_t it : expired)
     end(now, it, std::nullopt);
   send(now);
 }
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.h
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.h
@@ -10,33 +10,35 @@
 /// \ingroup Node
 struct ReplicaFeedOptions {
   HostName Host;
-  /// Random number of the process; spreads the processes over the replicas.
+  /// Random number of the process; distributes the processes over the replicas.
   std::uint64_t Incarnation = 0;
   ConfigurationCopyOptions Configuration;
   std::vector<std::string> Replicas;
-  /// The process wants to know of requests that end backend servers.
+  /// Whether the process subscribes to the quarantine of requests that crash
+  /// backend servers.
   bool WantsQuarantine = false;
-  /// How often the process asks whether its configuration is current.
+  /// Interval at which the process asks whether its configuration is current.
   Duration ProbePeriod = std::chrono::seconds(1);
 };
 
-/// \class FeedNews
+/// \class FeedUpdate
 /// \ingroup Node
-/// \brief What a message of a replica has changed.
-struct FeedNews {
+/// \brief What a message from a replica changed.
+struct FeedUpdate {
   bool Configuration = false;
-  /// Hosts were taken out of use, or back.
-  bool Drains = false;
+  /// Hosts or zones were taken out of use, or put back into use.
+  bool DrainsChanged = false;
   std::optional<MemberUpdate> Members;
   std::optional<QuarantineUpdate> Quarantine;
-  /// Processes that follow the configuration, this one among them.
+  /// Number of processes that subscribe to the configuration, this one
+  /// included.
   std::optional<std::uint32_t> Subscribers;
 };
 
 /// \class ReplicaFeed
 /// \ingroup Node
-/// \brief Keeps a process's copy of the configuration and of the members
-/// current, from whichever replica answers.
+/// \brief Keeps a process's copies of the configuration and the members
+/// current, using any replica that answers.
 class ReplicaFeed {
 public:
   ReplicaFeed(const ReplicaFeedOptions &options, Transport &transport);
@@ -44,16 +46,18 @@
   bool owns(LinkId link) const { return Replica.owns(link); }
   void onLinkOpen(TimePoint now);
   void onLinkClosed(TimePoint now);
-  FeedNews onMessage(TimePoint now, const Message &message);
+  FeedUpdate onMessage(TimePoint now, const Message &message);
   void tick(TimePoint now);
 
   const ConfigurationCopy &configuration() const { return Copy; }
-  /// \returns a time since when everything is known here that was decided on
-  /// the quarantine of requests before it.
-  std::optional<TimePoint> quarantineKnownAt() const { return KnownAt; }
-  /// Asks at once whether everything is current.
-  void askNow(TimePoint now) { probe(now); }
-  /// \returns the replicas known now.
+  /// \returns a time such that every decision about the quarantine of requests
+  /// made before it is known here; empty until the first such confirmation.
+  std::optional<TimePoint> quarantineKnownAsOf() const {
+    return QuarantineKnownAsOf;
+  }
+  /// Probes at once whether the copies are current.
+  void probeNow(TimePoint now) { probe(now); }
+  /// \returns the addresses of the replicas known now.
   const std::vector<std::string> &replicas() const {
     return Replica.addresses();
   }
@@ -61,7 +65,7 @@
 private:
   void subscribe(TimePoint now);
   void probe(TimePoint now);
-  void noteQuarantineKnown();
+  void updateQuarantineKnownAsOf();
 
   ReplicaFeedOptions Options;
   Transport &Network;
@@ -70,16 +74,16 @@
   LeaderLink Replica;
   bool Subscribed = false;
   TimePoint NextProbe;
-  /// Version of the quarantine ledger that is known.
+  /// Version of the quarantine ledger that this process has received.
   std::uint64_t Quarantine = 0;
-  /// The last question, and the version of which its answer told.
-  struct Question {
+  /// The last probe, and the quarantine version that its reply named.
+  struct ProbeState {
     std::uint64_t Nonce = 0;
-    TimePoint AskedAt;
-    std::optional<std::uint64_t> Answer;
+    TimePoint SentAt;
+    std::optional<std::uint64_t> RepliedVersion;
   };
-  Question Asked;
-  std::optional<TimePoint> KnownAt;
+  ProbeState LastProbe;
+  std::optional<TimePoint> QuarantineKnownAsOf;
 };
 
 } // namespace pimentofront
--- a/packages/node/pimentofront/src/Node/Subscribers.cpp
+++ b/packages/node/pimentofront/src/Node/Subscribers.cpp
@@ -5,18 +5,20 @@
 namespace pimentofront {
 namespace {
 
-/// Records in one message of a large difference.
-constexpr std::size_t RecordsInPart = 2000;
+/// Maximum number of records in one message; a larger difference is sent in
+/// parts.
+constexpr std::size_t MaxRecordsPerPart = 2000;
 
-/// Sends the difference since \p since part by part: the whole of it is never
-/// held. \returns the number of parts.
+/// Sends the difference since \p since in parts, so that it never has to be in
+/// memory as a whole.
+/// \returns the number of parts.
 std::size_t
 sendDifference(const Configuration &configuration, Revision since,
                const std::function<void(ConfigurationUpdate)> &send) {
   std::size_t parts = 0;
   ConfigurationUpdate part{.UpTo = configuration.revision()};
   configuration.forEachChanged(since, [&](const ConfigurationRecord &it) {
-    if (part.Records.size() == RecordsInPart) {
+    if (part.Records.size() == MaxRecordsPerPart) {
       part.Partial = true;
       send(std::exchange(part, {.UpTo = configuration.revision()}));
       ++parts;
@@ -40,7 +42,7 @@
 
 void Subscribers::remove(LinkId link) { All.erase(link); }
 
-void Subscribers::noteInForce(LinkId link, Revision revision) {
+void Subscribers::recordInForce(LinkId link, Revision revision) {
   const auto it = All.find(link);
   if (it != All.end())
     it->second.InForce = revision;
@@ -61,7 +63,8 @@
                                                  Cached = std::move(part);
                                              });
     CachedSince = subscriber.Known;
-    // Most lack the same small difference; a large one isn't kept.
+    // Most subscribers lack the same small difference. A large one isn't
+    // cached.
     if (parts > 1)
       Cached.reset();
   }
@@ -73,19 +76,19 @@
                        const QuarantineLedger &quarantine) {
   bool sentLarge = false;
   for (auto &[link, subscriber] : All) {
-    // First: whoever is told that its configuration is the newest relies on
-    // knowing what is in quarantine, too.
+    // The quarantine goes first: a process that learns that its configuration
+    // is current relies on knowing the quarantine, too.
     if (subscriber.WantsQuarantine)
       if (const auto update =
               quarantine.updateSince(subscriber.KnownQuarantine)) {
         Network.send(link, *update);
         subscriber.KnownQuarantine = update->To;
       }
-    // Those who lack much take turns: each needs a whole configuration on its
-    // way.
+    // At most one large difference is sent per call, since each needs the
+    // memory of a whole configuration while it is being sent.
     const Revision missing = configuration.revision() - subscriber.Known;
     const bool lacks = subscriber.Known < configuration.revision();
-    const bool large = lacks && missing > RecordsInPart;
+    const bool large = lacks && missing > MaxRecordsPerPart;
     if (lacks && !(large && sentLarge)) {
       pushConfiguration(link, subscriber, configuration);
       sentLarge = sentLarge || large;
@@ -105,7 +108,7 @@
       Network.send(link, message);
 }
 
-std::uint32_t Subscribers::followingConfiguration() const {
+std::uint32_t Subscribers::configurationSubscribers() const {
   return static_cast<std::uint32_t>(std::ranges::count_if(
       All, [](const auto &it) { return it.second.Known != MembersOnly; }));
 }
