--- a/packages/http/pimentofront/Http.h
+++ b/packages/http/pimentofront/Http.h
@@ -2,10 +2,10 @@
 ///
 /// \file
 /// \defgroup Http Http
-/// HTTP/1.1 for requests that are passed on: one strict parser (http-parser)
-/// for both sides, the connections of callers, and kept connections to backend
-/// servers. For calls of this project's own interface, operators and metrics
-/// there is HttpServer in Net.
+/// HTTP/1.1 for forwarded requests: one strict parser (http-parser) for
+/// requests and responses, the callers' connections, and keep-alive connections
+/// to backend servers. This project's own interface, the operators' calls and
+/// the metrics are served by HttpServer in Net.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_HTTP_H
--- a/packages/http/pimentofront/src/Http/CallerChannel.cpp
+++ b/packages/http/pimentofront/src/Http/CallerChannel.cpp
@@ -55,7 +55,7 @@
 
 void CallerChannel::parse() {
   evbuffer *input = bufferevent_get_input(Bev);
-  // What comes behind a request waits until that one is answered.
+  // A pipelined request isn't read until the one before it is answered.
   while (Key == 0 && !Closing && !Ended && evbuffer_get_length(input) > 0) {
     if (!Sending) {
       Sending = true;
@@ -113,14 +113,16 @@
     return;
   const CallerLimits &limits = Owner.Options.Limits;
   if (Sending) {
-    // A body that grows may take its time; a head may not.
+    // Both limits count from the request's first byte. A body may take longer
+    // than a head.
     const Duration limit =
         Parser.headDone() ? limits.IdleTimeout : limits.HeadTimeout;
     if (now >= Since + limit)
       refuse(StatusRequestTimeout);
     return;
   }
-  // Callers use a connection up to the limit: it ends a little later.
+  // Callers reuse a connection until the timeout. Closing it a little later
+  // avoids a race with a request that is just being sent.
   constexpr Duration Grace = std::chrono::seconds(1);
   if (now >= Since + limits.IdleTimeout + Grace)
     end();
@@ -180,7 +182,7 @@
   Since = Owner.Loop.now();
   if (!keepsConnection())
     return closeWhenWritten();
-  // A request that came behind this one: its turn is a turn of the loop later.
+  // A pipelined request is parsed in the next iteration of the event loop.
   if (evbuffer_get_length(bufferevent_get_input(Bev)) > 0)
     bufferevent_trigger(Bev, EV_READ,
                         static_cast<int>(BEV_OPT_DEFER_CALLBACKS) |
@@ -202,8 +204,9 @@
 void CallerChannel::abort() {
   Owner.dropKey(Key);
   Key = 0;
-  // What the caller has is its own, and it may go on from there. Without the
-  // last chunk it doesn't look complete; without chunks only a reset tells.
+  // The caller may resume after the part that it has, so that part is still
+  // written. The missing last chunk shows that the response is incomplete;
+  // without chunks only a TCP reset shows it.
   if (Framing == HttpFraming::Chunked)
     return closeWhenWritten();
   const linger reset{.l_onoff = 1, .l_linger = 0};
--- a/packages/http/pimentofront/src/Http/CallerListener.cpp
+++ b/packages/http/pimentofront/src/Http/CallerListener.cpp
@@ -9,7 +9,7 @@
 namespace pimentofront {
 namespace {
 
-/// Time limits are looked at this often; they are of seconds.
+/// Interval between checks of the time limits, which are seconds long.
 constexpr Duration SweepPeriod = std::chrono::milliseconds(250);
 
 } // namespace
@@ -100,8 +100,10 @@
   for (const auto &[id, it] : Channels)
     if (it->isIdle())
       idle.push_back(it.get());
-  // They stay until the next turn of the loop, and what comes until then isn't
-  // read any more: its caller sees the end without an answer, and nothing ran.
+  // Closed channels are freed in the next iteration of the event loop, so the
+  // pointers stay valid. A request that arrives until then isn't read: its
+  // caller sees the connection close without a response, and the request has
+  // not run.
   for (detail::CallerChannel *it : idle)
     it->closeWhenWritten();
 }
@@ -127,7 +129,8 @@
   all.reserve(Channels.size());
   for (const auto &[id, it] : Channels)
     all.push_back(it.get());
-  // A channel that ends stays until the next turn of the loop.
+  // A channel that checkTime() closes is freed in the next iteration of the
+  // event loop, so the pointers stay valid.
   for (detail::CallerChannel *it : all)
     it->checkTime(now);
 }
--- a/packages/http/pimentofront/src/Http/CallerListener.h
+++ b/packages/http/pimentofront/src/Http/CallerListener.h
@@ -10,19 +10,20 @@
 
 namespace pimentofront {
 
-/// Names a caller's request inside one process; never used again.
+/// Identifies a caller's request within one process; never reused.
 using CallerKey = std::uint64_t;
 
 /// \class CallerHandler
 /// \ingroup Http
-/// \brief What a process does with the requests of callers.
+/// \brief Receives the requests of a CallerListener.
 class CallerHandler {
 public:
   virtual ~CallerHandler() = default;
-  /// A request has arrived whole. \p bodyHash was made as it came.
+  /// Called with a complete request. \p bodyHash was computed while the body
+  /// arrived.
   virtual void onRequest(CallerKey key, RequestHead head, std::string body,
                          const ContentHash &bodyHash) = 0;
-  /// The caller went away before it had its whole answer.
+  /// The caller disconnected before its response was complete.
   virtual void onCallerGone(CallerKey key) = 0;
 };
 
@@ -31,7 +32,8 @@
 struct CallerListenerOptions {
   HostPort Address;
   CallerLimits Limits;
-  /// An answer that the caller doesn't take is given up at this many bytes.
+  /// A connection with more unsent response bytes than this is closed, since
+  /// its caller doesn't read.
   std::size_t MaxUnsentBytes = std::size_t(4) << 20;
 };
 
@@ -41,8 +43,8 @@
 
 /// \class CallerListener
 /// \ingroup Http
-/// \brief The connections of callers. One request at a time on each; what
-/// comes behind it waits.
+/// \brief Accepts callers' connections. Each connection handles one request at
+/// a time; pipelined requests wait unread.
 class CallerListener {
 public:
   /// \throws std::runtime_error when the address can't be bound.
@@ -53,18 +55,19 @@
   CallerListener &operator=(const CallerListener &) = delete;
 
   void setLimits(const CallerLimits &limits);
-  /// Answers whole. After any of these calls, a key without a connection is
-  /// ignored: the caller has gone.
+  /// Sends a complete response. This and the following functions ignore a key
+  /// whose caller has disconnected.
   void reply(CallerKey key, const ResponseHead &head, std::string_view body);
   void replyHead(CallerKey key, const ResponseHead &head);
   void replyPiece(CallerKey key, std::string_view bytes);
   void replyEnd(CallerKey key);
-  /// Ends the connection, so that the answer doesn't look complete.
+  /// Closes the connection in a way that shows the response to be incomplete.
   void replyAbort(CallerKey key);
 
-  /// From now on each answer is the last one on its connection.
+  /// From now on each connection is closed after its next response.
   void beginStop();
-  /// Takes no new connections, and ends those without a request.
+  /// Accepts no new connections, and closes those without a request in
+  /// progress.
   void stopListening();
   std::size_t channels() const { return Channels.size(); }
 
@@ -76,7 +79,8 @@
   detail::CallerChannel *find(CallerKey key);
   CallerKey addKey(ChannelId id);
   void dropKey(CallerKey key) { Keys.erase(key); }
-  /// Ends a channel a turn later: it may be in one of its own call-backs.
+  /// Removes a channel and frees it in the next iteration of the event loop,
+  /// since it may be inside one of its own callbacks.
   void bury(ChannelId id);
   void reap();
   void sweep();
--- a/packages/http/pimentofront/src/Http/ConnectProbe.cpp
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.cpp
@@ -8,8 +8,8 @@
 namespace pimentofront {
 namespace {
 
-/// Round trips between zones, and a wait for a turn of a busy server's
-/// processor; a caller waits meanwhile.
+/// Covers round trips between zones and the scheduling delay on a busy server.
+/// It is short since a caller waits for the result.
 constexpr Duration Timeout = std::chrono::milliseconds(150);
 
 ServerLife lifeBy(int error) {
@@ -25,7 +25,8 @@
   std::uint64_t Id = 0;
   evutil_socket_t Socket = -1;
   event *Ready = nullptr;
-  /// Ends the try without the socket's word.
+  /// Ends the attempt without a socket event: after the timeout, or at once if
+  /// connect() has returned a refusal.
   std::unique_ptr<Timer> End;
   Callback Done;
 
@@ -60,8 +61,9 @@
   const sockaddr_in to = toSocketAddress(parsed.value_or(HostPort{}));
   const int result = ::connect(
       slot->Socket, reinterpret_cast<const sockaddr *>(&to), sizeof(to));
-  // A refusal that comes at once, from this host, is told a turn later, too. It
-  // takes the error from the socket, which would then look connected.
+  // connect() to this host can return a refusal at once. It is reported from
+  // the event loop like any other result, but not by a socket event: connect()
+  // has cleared the socket's error, so the socket would look connected.
   if (result != 0 && errno == ECONNREFUSED) {
     slot->End = Loop.after(Duration::zero(),
                            [this, id] { end(id, ServerLife::Ended); });
--- a/packages/http/pimentofront/src/Http/ConnectProbe.h
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.h
@@ -12,8 +12,9 @@
 
 /// \class ConnectProbe
 /// \ingroup Http
-/// \brief Finds out whether a server's process still runs, by one connection
-/// that carries nothing: a host refuses those to a process that has ended.
+/// \brief Checks whether a server's process still runs by opening a connection
+/// without sending data: a host refuses connections to a process that has
+/// exited.
 class ConnectProbe {
 public:
   using Callback = std::function<void(ServerLife)>;
@@ -23,7 +24,8 @@
   ConnectProbe(const ConnectProbe &) = delete;
   ConnectProbe &operator=(const ConnectProbe &) = delete;
 
-  /// Connects to \p address; \p done is called once, and never from here.
+  /// Connects to \p address. \p done is called once, from the event loop and
+  /// never from inside this function.
   void start(const std::string &address, Callback done);
 
 private:
--- a/packages/http/pimentofront/src/Http/HttpParser.cpp
+++ b/packages/http/pimentofront/src/Http/HttpParser.cpp
@@ -14,13 +14,13 @@
          Marks.find(c) != std::string_view::npos;
 }
 
-/// The library takes `Name : value` for a header whose name ends in a space;
-/// another program may take it for `Name`.
+/// http-parser reads `Name : value` as a header whose name ends in a space;
+/// another program may read it as `Name`.
 bool isProperName(const std::string &name) {
   return !name.empty() && std::ranges::all_of(name, isTokenChar);
 }
 
-/// Only the one coding that all programs agree on.
+/// Accepts only `chunked`, the one coding that all programs interpret alike.
 bool isProperCoding(const HttpHeader &header) {
   return !sameHeaderName(header.Name, "transfer-encoding") ||
          sameHeaderName(header.Value, "chunked");
@@ -95,7 +95,7 @@
 
   static int onValue(http_parser *parser, const char *at, std::size_t n) {
     Impl &self = of(parser);
-    // What stands behind the last chunk isn't passed on.
+    // Trailers aren't forwarded.
     if (self.HeadDone)
       return 0;
     self.LastWasValue = true;
@@ -110,7 +110,7 @@
     for (const HttpHeader &it : self.Headers)
       if (!isProperName(it.Name) || !isProperCoding(it))
         return -self.fail(HttpFault::Malformed);
-    // Other protocols aren't spoken here.
+    // Protocol upgrades aren't supported.
     parser->upgrade = 0;
     if (parser->type == HTTP_REQUEST)
       return self.requestHead(*parser);
@@ -150,7 +150,7 @@
   static int onComplete(http_parser *parser) {
     Impl &self = of(parser);
     self.InMessage = false;
-    // One message at a time: the next one may belong to somebody else.
+    // Stop after each message: the next one may belong to another request.
     http_parser_pause(parser, 1);
     if (!self.Interim)
       self.Handler.onMessageEnd();
--- a/packages/http/pimentofront/src/Http/HttpParser.h
+++ b/packages/http/pimentofront/src/Http/HttpParser.h
@@ -7,7 +7,7 @@
 
 namespace pimentofront {
 
-/// What a parser reads.
+/// Kind of messages that a parser reads.
 enum class HttpSide : std::uint8_t { Requests, Answers };
 
 /// \class HttpLimits
@@ -17,7 +17,7 @@
   std::size_t MaxBodyBytes = std::size_t(4) << 20;
 };
 
-/// Why a message can't be read.
+/// Why a message is rejected.
 enum class HttpFault : std::uint8_t {
   None,
   Malformed,
@@ -27,7 +27,8 @@
 
 /// \class HttpMessageHandler
 /// \ingroup Http
-/// \brief Takes the parts of one message. No call may destroy the parser.
+/// \brief Receives the parts of each message. No callback may destroy the
+/// parser.
 class HttpMessageHandler {
 public:
   virtual ~HttpMessageHandler() = default;
@@ -40,9 +41,9 @@
 
 /// \class HttpParser
 /// \ingroup Http
-/// \brief Reads messages one after another. Stricter than the library: a
-/// message that two programs could read in two ways is refused, since one of
-/// them might be a backend server.
+/// \brief Parses messages one after another, more strictly than http-parser: an
+/// ambiguous message is rejected, since a backend server might read it in
+/// another way (request smuggling).
 class HttpParser {
 public:
   HttpParser(HttpSide side, const HttpLimits &limits,
@@ -51,23 +52,26 @@
   HttpParser(const HttpParser &) = delete;
   HttpParser &operator=(const HttpParser &) = delete;
 
-  /// Reads up to the end of one message.
-  /// \returns the bytes used; the rest is for the next call.
+  /// Parses up to the end of one message.
+  /// \returns the number of bytes consumed; the rest belongs to the next call.
   std::size_t feed(std::string_view bytes);
-  /// No more bytes come: an answer without a length is whole now.
+  /// Signals the end of the connection. It completes a response without a
+  /// length; any other unfinished message is malformed.
   void finish();
-  /// The answers to come are to requests of this method: HEAD has no body.
+  /// Sets the method that the next responses answer: those to HEAD have no
+  /// body.
   void expectAnswerTo(const std::string &method);
   void setLimits(const HttpLimits &limits);
 
   HttpFault fault() const;
   /// \returns whether a message has begun and not ended.
   bool inMessage() const;
-  /// \returns whether the head of the message at hand has come.
+  /// \returns whether the head of the current message is complete.
   bool headDone() const;
-  /// \returns whether the connection can be used after the message that ended.
+  /// \returns whether the connection can be reused after the message that
+  /// ended.
   bool keepsConnection() const;
-  /// \returns whether the message at hand is of HTTP/1.1 or later.
+  /// \returns whether the current message is HTTP/1.1 or later.
   bool isHttp11() const;
 
 private:
--- a/packages/http/pimentofront/src/Http/HttpWriter.h
+++ b/packages/http/pimentofront/src/Http/HttpWriter.h
@@ -9,23 +9,23 @@
 enum class HttpFraming : std::uint8_t {
   Length,
   Chunked,
-  /// By the end of the connection, for callers of HTTP/1.0.
+  /// By closing the connection, for HTTP/1.0 callers.
   Close,
 };
 
 /// \ingroup Http
-/// \returns the head of a request, up to and with its empty line. A body goes
-/// with its length.
+/// \returns the head of a request, including the empty line at its end. A body
+/// is sent with Content-Length.
 std::string writeRequestHead(const RequestHead &head, std::size_t bodyBytes);
 
 /// \ingroup Http
-/// \returns the head of an answer, up to and with its empty line.
-/// \param bodyBytes counts for HttpFraming::Length only.
+/// \returns the head of a response, including the empty line at its end.
+/// \param bodyBytes is used with HttpFraming::Length only.
 std::string writeResponseHead(const ResponseHead &head, HttpFraming framing,
                               std::size_t bodyBytes, bool keepsConnection);
 
 /// \ingroup Http
-/// \returns the line that goes before a chunk of \p n bytes.
+/// \returns the size line that precedes a chunk of \p n bytes.
 std::string writeChunkHead(std::size_t n);
 
 } // namespace pimentofront
--- a/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
@@ -64,7 +64,7 @@
 void UpstreamChannel::parse() {
   evbuffer *input = bufferevent_get_input(Bev);
   Heard = true;
-  // Bytes without a request belong to nobody.
+  // Bytes that arrive without a request in progress belong to no response.
   if (!Attempt)
     return end();
   while (!Ended && !Done && evbuffer_get_length(input) > 0) {
@@ -109,8 +109,8 @@
   const AttemptId attempt = *Attempt;
   Attempt.reset();
   Owner.Busy.erase(attempt);
-  // More bytes, or a body that the server hasn't read: no second request can
-  // be told from them.
+  // Surplus response bytes or unsent request bytes would be mixed up with a
+  // further request on this connection.
   const bool clean = Parser.keepsConnection() &&
                      evbuffer_get_length(bufferevent_get_input(Bev)) == 0 &&
                      evbuffer_get_length(bufferevent_get_output(Bev)) == 0;
@@ -146,7 +146,7 @@
     return;
   if (!self->Connected)
     return self->broke(UpstreamEnding::NotSent);
-  // An answer without a length is whole when its connection ends well.
+  // An orderly close completes a response without a length.
   if ((what & BEV_EVENT_EOF) && self->Attempt) {
     self->Parser.finish();
     if (self->Done && !self->Ended)
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -5,8 +5,7 @@
 namespace pimentofront {
 namespace {
 
-/// Connections that don't come about and kept ones that are too old are looked
-/// for this often.
+/// Interval between checks for connect timeouts and expired idle connections.
 constexpr Duration SweepPeriod = std::chrono::milliseconds(100);
 
 } // namespace
@@ -34,7 +33,7 @@
     return peer.Kept.size() > peer.Part.Kept ||
            std::uint64_t(peer.Open) + more > peer.Part.Open;
   };
-  // Ending one takes it from the list.
+  // end() removes the channel from the list.
   while (!peer.Kept.empty() && tooMany())
     Channels.at(peer.Kept.front())->end();
 }
@@ -53,7 +52,7 @@
 void UpstreamPool::useProcess(Peer &peer, const ServerProcess &process) {
   const bool same = maybeSame(peer.Server, process);
   peer.Server = process;
-  // Ending one takes it from the list.
+  // end() removes the channel from the list.
   while (!same && !peer.Kept.empty())
     Channels.at(peer.Kept.front())->end();
 }
@@ -97,7 +96,7 @@
   if (!maybeSame(channel.server(), peer.Server))
     return channel.end();
   peer.Kept.push_back(channel.id());
-  // The share may have shrunk meanwhile.
+  // The limits may have been lowered meanwhile.
   makeRoom(peer, /*more=*/0);
 }
 
@@ -127,7 +126,7 @@
     all.push_back(it.get());
   for (detail::UpstreamChannel *it : all)
     it->checkTime(now);
-  // Not sooner: whoever makes room for a connection holds on to its peer.
+  // Not earlier: functions that close connections hold a reference to the peer.
   std::erase_if(Peers, [](const auto &it) { return it.second.Open == 0; });
 }
 
--- a/packages/http/pimentofront/src/Http/UpstreamPool.h
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.h
@@ -10,7 +10,7 @@
 
 /// \class UpstreamHandler
 /// \ingroup Http
-/// \brief What a process does with the answers of backend servers.
+/// \brief Receives the responses of backend servers.
 class UpstreamHandler {
 public:
   virtual ~UpstreamHandler() = default;
@@ -22,19 +22,21 @@
 /// \class UpstreamPoolOptions
 /// \ingroup Http
 struct UpstreamPoolOptions {
-  /// How long a connection may take to come about: some round trips between
-  /// zones and a server's own time for it.
+  /// Limit on connecting: some round trips between zones and the server's own
+  /// time to accept the connection.
   Duration ConnectTimeout = std::chrono::milliseconds(500);
-  /// Kept connections are used for this part of the time that the server says
-  /// it keeps them, so that a request doesn't meet one that is just closing.
+  /// Idle connections are reused for this share of the keep-alive timeout that
+  /// the server announces, so that no request is sent on a connection that the
+  /// server is just closing.
   double KeepShare = 0.5;
-  /// How long one is kept whose server doesn't say.
+  /// Keep-alive time of connections whose server announces none.
   Duration DefaultKeep = std::chrono::milliseconds(300);
-  /// A request that may run once takes a kept connection that answered so
-  /// lately; after that, one may have ended unseen.
+  /// Maximum idle time of a connection that is reused for a request that may
+  /// run only once: after a longer time it may have closed unnoticed.
   Duration OnceIdle = std::chrono::milliseconds(500);
-  /// A new connection that ends within this time without an answer was turned
-  /// away: some round trips between zones, less than a server works.
+  /// A new connection that closes within this time without a response was
+  /// rejected: some round trips between zones, less than a server takes to
+  /// process a request.
   Duration TurnedAwayWithin = std::chrono::milliseconds(20);
   std::size_t MaxAnswerHeadBytes = std::size_t(64) << 10;
 };
@@ -45,12 +47,12 @@
 
 /// \class UpstreamPool
 /// \ingroup Http
-/// \brief Connections to backend servers, kept between requests. Never sends a
-/// request twice by itself.
+/// \brief Pool of keep-alive connections to backend servers. Never retries a
+/// request by itself.
 ///
-/// Each request says how many connections may be open to its server. Those
-/// without a request are given up first, the one that was used longest ago
-/// before the others, rather than open one too many.
+/// Each request carries the limits on the connections to its server. Idle
+/// connections are closed, the least recently used first, before a new one
+/// would exceed the limits.
 class UpstreamPool {
 public:
   UpstreamPool(EventLoop &loop, const UpstreamPoolOptions &options,
@@ -59,11 +61,12 @@
   UpstreamPool(const UpstreamPool &) = delete;
   UpstreamPool &operator=(const UpstreamPool &) = delete;
 
-  /// Sends; the handler's onEnd() is called once, unless it is cancelled.
+  /// Sends a request. UpstreamHandler::onEnd() is called once, unless the
+  /// attempt is cancelled or ignored.
   void send(const SendUpstream &request);
-  /// Closes the connection, which has the server stop.
+  /// Closes the connection, which makes the server stop.
   void cancel(const AttemptId &attempt);
-  /// Reads the answer to its end and tells nobody.
+  /// Reads the response to its end without reporting it.
   void ignore(const AttemptId &attempt);
   std::uint64_t connectionsOpened() const { return Opened; }
 
@@ -74,18 +77,19 @@
   struct Peer {
     std::uint32_t Open = 0;
     ConnectionPart Part;
-    /// The process that is there now.
+    /// The process at the address, as the last request named it.
     ServerProcess Server;
-    /// Those without a request, the last used one at the end.
+    /// Idle connections, the most recently used one last.
     std::vector<ChannelId> Kept;
   };
-  /// \returns a kept connection that answered within \p idle, or null.
+  /// \returns a connection that has been idle for at most \p idle, or null.
   detail::UpstreamChannel *takeKept(Peer &peer, Duration idle);
   detail::UpstreamChannel &open(Peer &peer, const std::string &address);
-  /// Ends kept connections until \p more fit beside those of \p peer.
+  /// Closes idle connections of \p peer until \p more fit within its limits.
   void makeRoom(Peer &peer, std::uint32_t more);
-  /// Another process is at the address of \p peer: kept connections to the
-  /// former one may be dead without a sign of it.
+  /// Sets the process at the address of \p peer. If it differs from the
+  /// previous one, closes the idle connections, which may be dead without
+  /// notice.
   void useProcess(Peer &peer, const ServerProcess &process);
   void keep(detail::UpstreamChannel &channel);
   void bury(ChannelId id);
--- a/packages/http/pimentofront/src/Http/detail/CallerChannel.h
+++ b/packages/http/pimentofront/src/Http/detail/CallerChannel.h
@@ -24,14 +24,14 @@
   void replyPiece(std::string_view bytes);
   void replyEnd();
   void abort();
-  /// Looks at the time limits of a caller that sends slowly or not at all.
+  /// Enforces the time limits on a caller that sends slowly or not at all.
   void checkTime(TimePoint now);
   void setLimits();
-  /// \returns whether no request is under way; the last answer may not be
-  /// written yet.
+  /// \returns whether no request is in progress. The last response may still be
+  /// unwritten.
   bool isIdle() const { return Key == 0 && !Parser.inMessage(); }
-  /// Ends the connection once what was answered is written. Nothing that is
-  /// sent on it is read any more.
+  /// Closes the connection once the pending output is written. Nothing more is
+  /// read from it.
   void closeWhenWritten();
 
 private:
@@ -41,7 +41,7 @@
   void parse();
   void refuse(int status);
   void answerEnded();
-  /// Ends the connection; what it is sent meanwhile isn't read any more.
+  /// Closes the connection. Nothing more is read from it.
   void end();
   bool keepsConnection() const;
 
@@ -52,15 +52,16 @@
   RequestHead Head;
   std::string Body;
   ContentHasher Hasher;
-  /// The request that is being answered; 0 is none.
+  /// The request that waits for its response; 0 is none.
   CallerKey Key = 0;
   HttpFraming Framing = HttpFraming::Length;
   bool HeadOnly = false;
-  /// The caller ends the connection with this request.
+  /// The connection is closed after the current request.
   bool LastRequest = false;
   bool Closing = false;
   bool Ended = false;
-  /// Since when the caller has been idle, or busy sending.
+  /// When the caller became idle, or began to send the request that is being
+  /// received.
   TimePoint Since;
   bool Sending = false;
 };
--- a/packages/http/pimentofront/src/Http/detail/UpstreamChannel.h
+++ b/packages/http/pimentofront/src/Http/detail/UpstreamChannel.h
@@ -15,11 +15,12 @@
   UpstreamChannel(UpstreamPool &owner, std::uint64_t id, std::string address);
   ~UpstreamChannel() override;
 
-  /// \pre no request is under way.
+  /// \pre no request is in progress.
   void send(const SendUpstream &request);
   void ignore() { Ignored = true; }
   void checkTime(TimePoint now);
-  /// \returns whether it is free, and answered within \p idle.
+  /// \returns whether the connection can be reused and has been idle for at
+  /// most \p idle.
   bool isUsable(TimePoint now, Duration idle) const {
     return !Ended && !Attempt && now < UsableUntil && now - FreeSince <= idle;
   }
@@ -29,7 +30,7 @@
   void onMessageEnd() override;
 
   const std::string &address() const { return Address; }
-  /// \returns the process that the last request was for.
+  /// \returns the server process that the last request was sent to.
   const ServerProcess &server() const { return Server; }
   std::uint64_t id() const { return Id; }
   void end();
@@ -40,7 +41,8 @@
   void parse();
   void answered();
   void broke(UpstreamEnding ending);
-  /// \returns how a connection ended that was cut off.
+  /// \returns how an attempt ended whose connection closed before the complete
+  /// response.
   UpstreamEnding cutOff() const;
   void noteKeepAlive(const HttpHeaders &headers);
 
@@ -54,12 +56,13 @@
   bool Connected = false;
   TimePoint OpenedAt;
   TimePoint ConnectedAt;
-  /// The server has sent something, for whichever request.
+  /// The server has sent bytes on this connection, for any request.
   bool Heard = false;
-  /// The answer that is being read is for the request under way.
+  /// The response that is being read belongs to the request in progress. Any
+  /// other response is skipped.
   bool Ours = false;
   bool Ignored = false;
-  /// Whole answer has been read.
+  /// The complete response has been read.
   bool Done = false;
   bool Ended = false;
   Duration Keep;
