--- a/packages/api/pimentofront/Api.h
+++ b/packages/api/pimentofront/Api.h
@@ -2,9 +2,9 @@
 ///
 /// \file
 /// \defgroup Api Api
-/// What the Connect protocol (connectrpc.com/docs/protocol) says on top of
-/// HTTP/1.1: unary bodies in JSON and binary, enveloped streams, errors. The
-/// messages themselves are generated from proto/pimentofront.proto.
+/// The Connect protocol (connectrpc.com/docs/protocol) on top of HTTP/1.1:
+/// unary bodies in JSON and binary protobuf, enveloped streams, errors. The
+/// messages are generated from proto/pimentofront.proto.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_API_H
--- a/packages/api/pimentofront/src/Api/Connect.cpp
+++ b/packages/api/pimentofront/src/Api/Connect.cpp
@@ -15,7 +15,7 @@
   int Status;
 };
 
-/// In the order of ConnectCode.
+/// Indexed by ConnectCode.
 constexpr CodeInfo Codes[] = {
     {"unknown", 500},   {"invalid_argument", 400}, {"deadline_exceeded", 504},
     {"not_found", 404}, {"already_exists", 409},   {"resource_exhausted", 429},
@@ -37,7 +37,7 @@
   google::protobuf::Value value;
   value.set_string_value(text);
   std::string json;
-  // Only a text that isn't UTF-8 fails; it is left out then.
+  // Fails only if the text isn't valid UTF-8; the text is omitted then.
   if (!google::protobuf::util::MessageToJsonString(value, &json).ok())
     return "\"\"";
   return json;
@@ -137,7 +137,7 @@
 std::optional<Duration> parseTimeout(std::string_view header) {
   if (header.empty())
     return Duration::zero();
-  constexpr std::size_t MaxDigits = 10; // By the protocol.
+  constexpr std::size_t MaxDigits = 10; // Limit of the protocol.
   std::int64_t ms = 0;
   const char *end = header.data() + header.size();
   const auto parsed = std::from_chars(header.data(), end, ms);
--- a/packages/api/pimentofront/src/Api/Connect.h
+++ b/packages/api/pimentofront/src/Api/Connect.h
@@ -27,50 +27,52 @@
 
 /// \class ConnectError
 /// \ingroup Api
-/// \brief An error as callers get it.
+/// \brief An error that is returned to a caller.
 struct ConnectError {
   ConnectCode Code = ConnectCode::Unknown;
   std::string Message;
-  /// What became of the request; the `Outcome` of the schema.
+  /// This and the following fields say what became of the request. They are
+  /// sent as an `Outcome` message if `Reason` isn't empty.
   bool NotRun = false;
   std::string Reason;
   Duration ComeBack = Duration::zero();
 };
 
-/// How a body is written.
+/// Encoding of a body.
 enum class ConnectCodec : std::uint8_t { Json, Binary };
 
 /// \class ConnectContent
 /// \ingroup Api
-/// \brief What a content type says.
+/// \brief A decoded content type.
 struct ConnectContent {
   ConnectCodec Codec = ConnectCodec::Json;
   bool Stream = false;
 };
 
 /// \ingroup Api
-/// \returns nothing for a content type that isn't of the protocol.
+/// \returns nullopt for a content type that the protocol doesn't define.
 std::optional<ConnectContent> parseContentType(std::string_view type);
 std::string contentTypeOf(const ConnectContent &content);
 
-/// \returns the status of HTTP for a unary error.
+/// \returns the HTTP status of a unary error.
 int httpStatusOf(ConnectCode code);
 /// \returns the error object in JSON.
 std::string encodeConnectError(const ConnectError &error);
-/// \returns the last envelope of a stream; \p error is null for a good end.
+/// \returns the last envelope of a stream; \p error is null after success.
 std::string encodeEndOfStream(const ConnectError *error);
-/// \returns seconds for the header Retry-After, rounded up; empty for none.
+/// \returns the value of the Retry-After header, seconds rounded up; empty if
+/// the error has none.
 std::string retryAfter(const ConnectError &error);
 
-/// Reads \p body into \p message, strictly: unknown fields of JSON are errors.
+/// Parses \p body into \p message. Unknown JSON fields are errors.
 tl::expected<void, std::string> readMessage(ConnectCodec codec,
                                             std::string_view body,
                                             google::protobuf::Message &message);
 std::string writeMessage(ConnectCodec codec,
                          const google::protobuf::Message &message);
 
-/// \returns the value of the header Connect-Timeout-Ms; zero when it isn't
-/// there, nothing when it is malformed.
+/// \returns the value of the Connect-Timeout-Ms header; zero if it is empty or
+/// missing, nullopt if it is malformed.
 std::optional<Duration> parseTimeout(std::string_view header);
 
 } // namespace pimentofront
--- a/packages/api/pimentofront/src/Api/Envelope.h
+++ b/packages/api/pimentofront/src/Api/Envelope.h
@@ -11,8 +11,8 @@
 
 /// \class Envelope
 /// \ingroup Api
-/// \brief One message of a stream: a byte of flags, four of length, big-endian,
-/// and the message.
+/// \brief One message of a stream: a byte of flags, four bytes of length in
+/// big-endian order, and the message.
 struct Envelope {
   static constexpr std::uint8_t Compressed = 1;
   static constexpr std::uint8_t EndOfStream = 2;
@@ -26,19 +26,20 @@
 
 /// \class EnvelopeReader
 /// \ingroup Api
-/// \brief Takes envelopes out of bytes that arrive in any pieces.
+/// \brief Extracts envelopes from a stream of bytes that arrives in arbitrary
+/// pieces.
 class EnvelopeReader {
 public:
-  /// \param maxMessageBytes a longer message ends the stream as malformed.
+  /// \param maxMessageBytes a longer message makes the stream malformed.
   explicit EnvelopeReader(std::size_t maxMessageBytes)
       : MaxMessageBytes(maxMessageBytes) {}
 
   void feed(std::string_view bytes) { Buffer += bytes; }
-  /// \returns the next whole envelope, if there is one.
+  /// \returns the next complete envelope, if there is one.
   std::optional<Envelope> next();
   /// \returns whether the bytes can't be a stream of envelopes.
   bool malformed() const { return Malformed; }
-  /// \returns whether bytes of an unfinished envelope are left.
+  /// \returns whether bytes of an incomplete envelope are left.
   bool hasRest() const { return !Buffer.empty(); }
 
 private:
--- a/packages/http/pimentofront/src/Http/UpstreamPool.h
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.h
@@ -66,7 +66,8 @@
   void send(const SendUpstream &request);
   /// Closes the connection, which makes the server stop.
   void cancel(const AttemptId &attempt);
-  /// Reads the response to its end without reporting it.
+  /// Reads the response to its end without reporting it, so that the connection
+  /// can be reused.
   void ignore(const AttemptId &attempt);
   std::uint64_t connectionsOpened() const { return Opened; }
 
--- a/packages/net/pimentofront/Net.h
+++ b/packages/net/pimentofront/Net.h
@@ -2,9 +2,10 @@
 ///
 /// \file
 /// \defgroup Net Net
-/// The only module that reads a clock or a socket. One loop on one thread
-/// carries timers, signals, HTTP in both directions and the links between the
-/// system's own processes (WebSocket with CBOR frames). It decides nothing.
+/// The only module that reads a clock and, with Http, the only one that reads
+/// sockets. One event loop on one thread runs timers, signals, HTTP servers and
+/// clients, and the links between the system's own processes (WebSocket with
+/// CBOR frames). Makes no decisions.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef PIMENTOFRONT_NET_H
--- a/packages/net/pimentofront/src/Net/CallOnce.h
+++ b/packages/net/pimentofront/src/Net/CallOnce.h
@@ -8,8 +8,9 @@
 namespace pimentofront {
 
 /// \ingroup Net
-/// \returns a function whose first call goes on to \p done. If none has come
-/// within \p limit, \p done is called with nothing.
+/// \returns a function that forwards its first call to \p done and ignores
+/// later ones. If it isn't called within \p limit, \p done is called with
+/// nullopt.
 template <class T>
 std::function<void(const std::optional<T> &)>
 callOnceWithin(EventLoop &loop, Duration limit,
--- a/packages/net/pimentofront/src/Net/EventLoop.h
+++ b/packages/net/pimentofront/src/Net/EventLoop.h
@@ -15,8 +15,8 @@
 
 /// \class Timer
 /// \ingroup Net
-/// \brief A call at a later time, once or again and again; ends with the
-/// object.
+/// \brief A callback that runs after a delay, periodically or on a signal.
+/// Destroying the object cancels it.
 class Timer {
 public:
   Timer() = default;
@@ -32,7 +32,7 @@
 
 /// \class EventLoop
 /// \ingroup Net
-/// \brief The one loop of a process.
+/// \brief The event loop of a process; all its callbacks run on one thread.
 class EventLoop {
 public:
   EventLoop();
@@ -40,10 +40,10 @@
   EventLoop(const EventLoop &) = delete;
   EventLoop &operator=(const EventLoop &) = delete;
 
-  /// \returns the present time of the boot clock, read anew at each call, so
-  /// that a process that was frozen notices before it acts.
+  /// \returns the time of CLOCK_BOOTTIME, read anew at each call, so that a
+  /// process that was paused or suspended notices that before it acts.
   TimePoint now() const;
-  /// \returns wall time in milliseconds since 1970, for logs and claims.
+  /// \returns wall-clock time in milliseconds since 1970, for logs and claims.
   std::uint64_t wallMilliseconds() const;
 
   /// Calls \p action every \p period until the result is destroyed.
@@ -64,12 +64,12 @@
 
 /// \class HostPort
 /// \ingroup Net
-/// \brief An address of a process: numeric IP and TCP port.
+/// \brief The address of a process: numeric IPv4 address and TCP port.
 struct HostPort {
   std::string Ip;
   std::uint16_t Port = 0;
 
-  /// \returns the parts of "ip:port", or nothing if it is malformed.
+  /// \returns the parts of "ip:port", or nullopt if \p text is malformed.
   static std::optional<HostPort> parse(const std::string &text);
   friend auto operator<=>(const HostPort &, const HostPort &) = default;
 };
--- a/packages/net/pimentofront/src/Net/HttpClient.cpp
+++ b/packages/net/pimentofront/src/Net/HttpClient.cpp
@@ -28,15 +28,16 @@
 } // namespace
 
 struct HttpClient::Impl {
-  /// A call in progress; the call-backs of evhttp know it by its address.
+  /// A call in progress. evhttp's callbacks get its address, so it must not
+  /// move.
   struct ActiveCall {
     Impl &Self;
     HttpCallId Id = 0;
     HttpCall Call;
     evhttp_connection *Connection = nullptr;
-    /// Broke off after the connection had come about.
+    /// The call failed after the connection was established.
     bool FailedUnderWay = false;
-    /// Body of an answer that isn't a good one.
+    /// Body of a response with another status than 200.
     std::string ErrorBody;
   };
 
@@ -44,8 +45,8 @@
   HttpCallId LastId = 0;
   std::unordered_map<HttpCallId, std::unique_ptr<ActiveCall>> Active;
   std::map<HostPort, std::vector<evhttp_connection *>> Idle;
-  /// Neither connections nor cancelled calls can be freed inside their own
-  /// call-backs: they wait here for the loop's next turn.
+  /// Connections and cancelled calls can't be freed inside their own callbacks.
+  /// They are kept here until the next iteration of the event loop.
   std::vector<evhttp_connection *> DeadConnections;
   std::vector<std::unique_ptr<ActiveCall>> DeadCalls;
   std::unique_ptr<Timer> Reaper;
@@ -81,7 +82,7 @@
       evhttp_connection_free(it);
   }
 
-  /// A kept connection that the server closes must leave the pool.
+  /// Removes an idle connection that the server has closed from the pool.
   static void onIdleClosed(evhttp_connection *con, void *arg) {
     auto *self = static_cast<Impl *>(arg);
     for (auto &[address, idle] : self->Idle)
@@ -113,8 +114,8 @@
     return it != Active.end() && it->second.get() == &call;
   }
 
-  /// evhttp calls this only when a connection existed; a connection that
-  /// could not be made ends the request without it.
+  /// evhttp calls this only if a connection was established; after a failed
+  /// connect the request ends without it.
   static void onError(evhttp_request_error, void *arg) {
     static_cast<ActiveCall *>(arg)->FailedUnderWay = true;
   }
@@ -158,7 +159,7 @@
       call->ErrorBody += bytes;
       return;
     }
-    // The call may be cancelled inside: keep the action alive.
+    // The callback may cancel the call; the copy keeps the callback alive.
     const auto action = call->Call.OnPiece;
     action(bytes);
   }
@@ -172,7 +173,8 @@
     evhttp_connection_free(call->Connection);
   for (auto &[address, idle] : State->Idle)
     for (evhttp_connection *it : idle) {
-      // Else freeing calls back into the list that is being walked.
+      // Otherwise evhttp_connection_free() would call onIdleClosed(), which
+      // changes the list during the iteration.
       evhttp_connection_set_closecb(it, nullptr, nullptr);
       evhttp_connection_free(it);
     }
--- a/packages/net/pimentofront/src/Net/HttpClient.h
+++ b/packages/net/pimentofront/src/Net/HttpClient.h
@@ -8,13 +8,13 @@
 
 namespace pimentofront {
 
-/// How a call of a backend server ended.
+/// How a call to a server ended.
 enum class HttpEnding : std::uint8_t {
-  /// A complete answer arrived.
+  /// A complete response arrived.
   Complete,
-  /// No connection came about: the server never saw the call.
+  /// No connection was established: the server never received the call.
   NotSent,
-  /// The call may have reached the server; no complete answer.
+  /// The server may have received the call, but no complete response arrived.
   BrokeOff,
 };
 
@@ -23,7 +23,7 @@
 struct HttpAnswer {
   HttpEnding Ending = HttpEnding::BrokeOff;
   int Status = 0;
-  /// Empty when the body was taken in pieces.
+  /// Without the parts that were passed to HttpCall::OnPiece.
   std::string Body;
 };
 
@@ -36,21 +36,21 @@
   std::vector<HttpHeader> Headers;
   std::string Body;
   Duration Timeout = std::chrono::seconds(60);
-  /// Uses a connection of its own, so that a call that may not be repeated
-  /// never meets a kept connection that the server has just closed.
+  /// Uses a new connection. For calls that must not be repeated: the server may
+  /// just have closed an idle connection.
   bool FreshConnection = false;
-  /// Set to take the body of a good answer piece by piece.
+  /// If set, receives the body of a response with status 200 piece by piece.
   std::function<void(std::string_view)> OnPiece;
   std::function<void(const HttpAnswer &)> OnEnd;
 };
 
-/// Names a call in progress; 0 is none.
+/// Identifies a call in progress; 0 is none.
 using HttpCallId = std::uint64_t;
 
 /// \class HttpClient
 /// \ingroup Net
-/// \brief Calls to backend servers by evhttp, with kept connections. It never
-/// repeats a call by itself.
+/// \brief HTTP client on evhttp with a pool of keep-alive connections. Never
+/// retries a call by itself.
 class HttpClient {
 public:
   explicit HttpClient(EventLoop &loop);
@@ -58,9 +58,10 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  /// Starts \p call; `OnEnd` is called exactly once, unless it is cancelled.
+  /// Starts \p call. `OnEnd` is called exactly once, unless the call is
+  /// cancelled.
   HttpCallId start(HttpCall call);
-  /// Closes the connection of a call, which tells the server to stop.
+  /// Closes the connection of a call, which makes the server stop.
   void cancel(HttpCallId id);
 
 private:
--- a/packages/net/pimentofront/src/Net/HttpServer.cpp
+++ b/packages/net/pimentofront/src/Net/HttpServer.cpp
@@ -10,8 +10,8 @@
   return {static_cast<time_t>(d.count() / 1'000'000), 0};
 }
 
-/// The request object of libevhtp dies when it is answered or when its
-/// connection ends; `Request` is null from then on.
+/// libevhtp frees its request object after the response or when the connection
+/// closes; `Request` is null from then on.
 class EvhtpExchange : public HttpExchange {
 public:
   explicit EvhtpExchange(evhtp_request_t *req) : Request(req) {
@@ -110,7 +110,7 @@
   bool Answered = false;
 };
 
-/// Keeps the exchange alive as long as libevhtp knows the request.
+/// Keeps the exchange alive until libevhtp frees the request.
 struct Hold {
   std::shared_ptr<EvhtpExchange> Exchange;
   timeval CallerTimeout;
@@ -118,7 +118,7 @@
 
 evhtp_res onRequestEnded(evhtp_request_t *req, void *arg) {
   auto *hold = static_cast<Hold *>(arg);
-  // On a kept connection the next request has its time limit again.
+  // Restores the timeouts for the next request on a keep-alive connection.
   if (bufferevent *bev = evhtp_request_get_bev(req))
     bufferevent_set_timeouts(bev, &hold->CallerTimeout, &hold->CallerTimeout);
   hold->Exchange->requestEnded();
@@ -139,8 +139,8 @@
     auto *hold = new Hold{exchange, self->CallerTimeout};
     evhtp_request_set_hook(req, evhtp_hook_on_request_fini,
                            reinterpret_cast<evhtp_hook>(onRequestEnded), hold);
-    // The request is complete: from here on the answer may take its time, and
-    // only a caller that doesn't read is cut off.
+    // The request is complete. Computing the response has no time limit; only a
+    // caller that doesn't read the response is disconnected.
     bufferevent_set_timeouts(evhtp_request_get_bev(req), nullptr,
                              &self->CallerTimeout);
     self->Handler.onRequest(std::move(exchange));
--- a/packages/net/pimentofront/src/Net/HttpServer.h
+++ b/packages/net/pimentofront/src/Net/HttpServer.h
@@ -11,8 +11,8 @@
 
 /// \class HttpExchange
 /// \ingroup Net
-/// \brief One request that arrived whole, and the way to answer it, at once or
-/// later. After the caller has gone, answering does nothing.
+/// \brief A complete request and the means to respond to it, at once or later.
+/// Responding does nothing after the caller has disconnected.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
@@ -20,29 +20,31 @@
   virtual std::string_view method() const = 0;
   virtual std::string_view path() const = 0;
   virtual std::string_view body() const = 0;
-  /// \returns the value of a header, empty when it isn't there.
+  /// \returns the value of a header; empty if it is missing.
   virtual std::string_view header(const char *name) const = 0;
   virtual bool gone() const = 0;
-  /// \returns bytes that the caller hasn't taken yet.
+  /// \returns the number of response bytes that aren't sent yet.
   virtual std::size_t unsentBytes() const = 0;
 
-  /// Answers with a whole body.
+  /// Sends a complete response.
   virtual void reply(int status, const std::vector<HttpHeader> &headers,
                      std::string_view body) = 0;
-  /// Begins an answer in pieces.
+  /// Starts a chunked response.
   virtual void beginStream(int status,
                            const std::vector<HttpHeader> &headers) = 0;
   virtual void sendPiece(std::string_view bytes) = 0;
   virtual void endStream() = 0;
-  /// Ends the connection without an answer: the caller is too slow.
+  /// Closes the connection without completing the response, since the caller is
+  /// too slow.
   virtual void abort() = 0;
-  /// \p action is called once if the caller goes away before the end.
+  /// \p action is called once if the caller disconnects before the response is
+  /// complete.
   virtual void onGone(std::function<void()> action) = 0;
 };
 
 /// \class HttpHandler
 /// \ingroup Net
-/// \brief What a daemon does with requests.
+/// \brief Handles the requests of an HttpServer.
 class HttpHandler {
 public:
   virtual ~HttpHandler() = default;
@@ -55,13 +57,14 @@
   HostPort Address;
   /// Larger bodies are refused with status 413.
   std::size_t MaxBodyBytes = std::size_t(1) << 20;
-  /// A caller has this long to send a request and to take each piece.
+  /// Timeout for receiving from a caller and for sending each piece of a
+  /// response; a part of a second is ignored.
   Duration CallerTimeout = std::chrono::seconds(30);
 };
 
 /// \class HttpServer
 /// \ingroup Net
-/// \brief HTTP/1.1 by libevhtp.
+/// \brief HTTP/1.1 server on libevhtp.
 class HttpServer {
 public:
   /// \throws std::runtime_error when the address can't be bound.
--- a/packages/net/pimentofront/src/Net/PeerNetwork.cpp
+++ b/packages/net/pimentofront/src/Net/PeerNetwork.cpp
@@ -17,7 +17,7 @@
 
 void HybridClock::observe(HybridTime seen, std::uint64_t wallMilliseconds) {
   constexpr unsigned CounterBits = 16;
-  // A peer whose clock is far ahead must not drag ours along.
+  // A peer whose clock is far ahead must not advance this clock.
   constexpr std::uint64_t MaxLeadMilliseconds = 60'000;
   const HybridTime limit = (wallMilliseconds + MaxLeadMilliseconds)
                            << CounterBits;
@@ -51,7 +51,8 @@
   evconnlistener *Listener = nullptr;
   LinkId LastId = 0;
   std::unordered_map<LinkId, std::unique_ptr<Link>> Links;
-  /// Links end inside their own call-backs; they are freed a turn later.
+  /// Links close inside their own callbacks, so they are freed in the next
+  /// iteration of the event loop.
   std::vector<std::unique_ptr<Link>> Dead;
   std::unique_ptr<Timer> Reaper;
   HybridClock Clock;
@@ -109,8 +110,8 @@
     transmit(link, encode(self));
   }
 
-  /// Nothing but the greeting goes out before the other side's has come: a link
-  /// that was never open has certainly carried nothing.
+  /// Only Hello is sent before the peer's Hello has arrived. So a link that
+  /// never opened has certainly carried no other message.
   void greeted(Link &link, const Hello &hello) {
     link.Greeted = true;
     link.ConnectTimer.reset();
@@ -147,7 +148,7 @@
     greeted(link, *hello);
   }
 
-  /// Ends a link from inside a call-back of its socket.
+  /// Closes a link from inside a callback of its socket.
   void endLater(LinkId id) {
     const auto it = Links.find(id);
     if (it == Links.end() || it->second->Closed)
--- a/packages/net/pimentofront/src/Net/PeerNetwork.h
+++ b/packages/net/pimentofront/src/Net/PeerNetwork.h
@@ -8,12 +8,14 @@
 
 /// \class HybridClock
 /// \ingroup Net
-/// \brief Stamps that agree with the order of messages (Kulkarni et al., 2014).
+/// \brief Hybrid logical clock (Kulkarni et al., 2014): its timestamps are
+/// consistent with the order of messages.
 class HybridClock {
 public:
-  /// \returns a stamp later than all that were given or seen.
+  /// \returns a timestamp later than all that were returned or observed.
   HybridTime tick(std::uint64_t wallMilliseconds);
-  /// Takes note of the stamp of a message that arrived.
+  /// Takes the timestamp of a received message into account, unless it is more
+  /// than a minute ahead of \p wallMilliseconds.
   void observe(HybridTime seen, std::uint64_t wallMilliseconds);
 
 private:
@@ -25,15 +27,16 @@
 struct PeerNetworkOptions {
   HostPort Listen;
   Hello Self;
-  /// A link whose other side takes nothing is ended at this many bytes.
+  /// A link with more unsent bytes than this is closed, since its peer doesn't
+  /// read.
   std::size_t MaxUnsentBytes = std::size_t(32) << 20;
-  /// How long a link may take to come about.
+  /// Limit on opening a link, from connecting to the peer's Hello.
   Duration ConnectTimeout = std::chrono::seconds(2);
 };
 
 /// \class PeerNetwork
 /// \ingroup Net
-/// \brief Links to other processes of the system, made on demand.
+/// \brief Links to other processes of the system, opened on demand.
 class PeerNetwork : public Transport {
 public:
   /// \throws std::runtime_error when the address can't be bound.
@@ -47,12 +50,13 @@
               LinkPurpose purpose = LinkPurpose::General) override;
   void send(LinkId link, const Message &message) override;
   void close(LinkId link) override;
-  /// Ends all links; the handler learns of each.
+  /// Closes all links and reports each to the handler.
   void closeAll();
-  /// The greeting of links to come names another disk.
+  /// Sets the identity of the disk that Hello announces on future links.
   void setReplica(std::uint64_t identity);
   HybridClock &clock();
-  /// \returns bytes of frames sent and received, for the budget of control.
+  /// \returns the bytes of frames sent and received, to check the budget for
+  /// control traffic.
   std::uint64_t bytesSent() const;
   std::uint64_t bytesReceived() const;
 
--- a/packages/net/pimentofront/src/Net/Socket.cpp
+++ b/packages/net/pimentofront/src/Net/Socket.cpp
@@ -15,8 +15,9 @@
 
 void prepareSocket(int fd) {
   const int on = 1;
-  // A silent cut is noticed within three seconds: callers wait for an answer
-  // some seconds, and a lost packet is sent again several times before.
+  // A silent network failure is detected within three seconds: callers wait
+  // some seconds for a response, and TCP retransmits a lost packet several
+  // times within that time.
   const unsigned unacknowledgedMilliseconds = 3'000;
   const int idleSeconds = 1;
   const int probes = 2;
--- a/packages/net/pimentofront/src/Net/Socket.h
+++ b/packages/net/pimentofront/src/Net/Socket.h
@@ -8,12 +8,13 @@
 namespace pimentofront {
 
 /// \ingroup Net
-/// \returns \p address as the system calls take it.
+/// \returns \p address in the form that system calls take.
 sockaddr_in toSocketAddress(const HostPort &address);
 
 /// \ingroup Net
-/// Has a TCP socket send at once, and end when its other side acknowledges
-/// nothing: by itself TCP notices that only after a quarter of an hour.
+/// Makes a TCP socket send without delay, and fail soon if its peer
+/// acknowledges nothing: by default TCP detects that only after a quarter of an
+/// hour.
 void prepareSocket(int fd);
 
 } // namespace pimentofront
--- a/packages/net/pimentofront/src/Net/detail/WebSocketPeer.cpp
+++ b/packages/net/pimentofront/src/Net/detail/WebSocketPeer.cpp
@@ -13,7 +13,7 @@
 namespace detail {
 namespace {
 
-/// Small buffers: a process holds hundreds of idle connections.
+/// The read buffers are small since a process has hundreds of idle connections.
 struct ServerConfig : websocketpp::config::core {
   static const std::size_t connection_read_buffer_size = 1024;
   static const std::size_t max_message_size = MaxFrameBytes;
@@ -99,7 +99,8 @@
       self->end();
   }
 
-  /// Only a client starts when the connection is there.
+  /// A client starts the handshake once TCP is connected. A server has started
+  /// in acceptWebSocket().
   void connected() {
     if constexpr (!IsServer)
       sharedEndpoint<Endpoint>().connect(Con);
--- a/packages/net/pimentofront/src/Net/detail/WebSocketPeer.h
+++ b/packages/net/pimentofront/src/Net/detail/WebSocketPeer.h
@@ -11,36 +11,36 @@
 namespace detail {
 
 /// \class WebSocketHandler
-/// \brief What happens on one WebSocket connection.
+/// \brief Receives the events of one WebSocket connection.
 class WebSocketHandler {
 public:
   virtual ~WebSocketHandler() = default;
   virtual void onOpen() = 0;
   virtual void onFrame(const std::string &bytes) = 0;
-  /// The connection has ended, in whatever way; the last call.
+  /// The connection has closed, for any reason. No other call follows.
   virtual void onClosed() = 0;
 };
 
 /// \class WebSocketPeer
-/// \brief One WebSocket connection over a bufferevent of the loop, which it
-/// owns. May be destroyed at any time but inside a call of its handler.
+/// \brief A WebSocket connection over a bufferevent, which it owns. Must not be
+/// destroyed inside a call to its handler.
 ///
-/// This header needs no websocketpp, and stays C++17.
+/// This header doesn't depend on websocketpp and has to compile as C++17.
 class WebSocketPeer {
 public:
   virtual ~WebSocketPeer() = default;
   virtual void send(const std::string &bytes) = 0;
-  /// \returns bytes that the other side hasn't taken yet.
+  /// \returns the number of bytes that aren't sent to the peer yet.
   virtual std::size_t unsentBytes() const = 0;
 };
 
-/// Limit of one frame, in bytes.
+/// Maximum size of a frame in bytes.
 constexpr std::size_t MaxFrameBytes = std::size_t(4) << 20;
 
-/// Serves a connection that was accepted.
+/// Starts the server side of an accepted connection.
 std::unique_ptr<WebSocketPeer> acceptWebSocket(bufferevent *bev,
                                                WebSocketHandler &handler);
-/// Opens one; \p bev is already connecting.
+/// Creates the client side; the handshake starts once \p bev is connected.
 std::unique_ptr<WebSocketPeer> openWebSocket(bufferevent *bev,
                                              const std::string &address,
                                              WebSocketHandler &handler);
