--- a/test/CallerListenerTest.cpp
+++ b/test/CallerListenerTest.cpp
@@ -32,7 +32,7 @@
   return fd;
 }
 
-/// Sends one request, without waiting for its answer.
+/// Sends one request without waiting for the response.
 void sendRequest(int fd) {
   constexpr std::string_view Request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   REQUIRE(::send(fd, Request.data(), Request.size(), MSG_NOSIGNAL) ==
@@ -41,10 +41,10 @@
 
 } // namespace
 
-// An entry that stops ends its idle connections 2.5 s after the signal. Answers
-// that were complete by then but not yet written were cut off: about one on
-// thirty days.
-TEST_CASE("an answer that isn't written yet survives the end of idle ones") {
+// A stopping entry closes its idle connections 2.5 s after the signal. Guards
+// against closing a connection whose response is complete but not yet written,
+// which truncated about one response in thirty days of operation.
+TEST_CASE("closing idle connections doesn't truncate an unwritten response") {
   EventLoop loop;
   Recorder handler;
   const HostPort address = ownAddress();
@@ -53,14 +53,14 @@
   sendRequest(fd);
   while (handler.Keys.empty())
     event_base_loop(loop.base(), EVLOOP_ONCE);
-  SECTION("the stop has begun") { listener.beginStop(); }
-  SECTION("or not") {}
+  SECTION("after the stop has begun") { listener.beginStop(); }
+  SECTION("before the stop begins") {}
   const std::string body(100000, 'x');
   listener.reply(handler.Keys.front(), {.Status = 200}, body);
   listener.beginStop();
   listener.stopListening();
-  // The caller reads while the loop turns: the answer is larger than a socket's
-  // buffer may be.
+  // The caller reads while the event loop runs, since the response may be
+  // larger than a socket's buffer.
   std::string answer;
   char bytes[4096];
   while (listener.channels() > 0 || answer.size() < body.size()) {
@@ -75,7 +75,7 @@
   ::close(fd);
 }
 
-TEST_CASE("a request that crosses the end of its idle connection isn't taken") {
+TEST_CASE("a request that arrives on a closing idle connection isn't read") {
   EventLoop loop;
   Recorder handler;
   const HostPort address = ownAddress();
@@ -91,7 +91,7 @@
   CHECK(handler.Keys.empty());
   for (const CallerKey it : handler.Keys)
     CHECK_NOTHROW(listener.reply(it, {.Status = 200}, "late"));
-  // The caller sees that it wasn't answered.
+  // The caller sees the connection close without a response.
   char byte = 0;
   CHECK(::recv(fd, &byte, 1, 0) <= 0);
   ::close(fd);
--- a/test/EngineOrdersTest.cpp
+++ b/test/EngineOrdersTest.cpp
@@ -14,8 +14,9 @@
 constexpr const char *Model = "m";
 constexpr std::size_t Slots = 2;
 
-/// An engine that may leave an order unanswered and carry it out later: it
-/// looks only then whether the order still fits.
+/// An engine that may leave an order unanswered and carry it out later. It
+/// checks only then whether the order still matches its process and order
+/// count.
 class LateEngine : public CallerHandler {
 public:
   explicit LateEngine(EventLoop &loop)
@@ -42,7 +43,7 @@
   }
   void onCallerGone(CallerKey) override {}
 
-  /// It crashes and starts again, empty.
+  /// Simulates a crash and a restart without models and adapters.
   void restart() {
     if (TellsStart)
       ++StartedAt;
@@ -53,7 +54,7 @@
     Adapters.clear();
   }
   bool hasLate() const { return !Late.empty(); }
-  /// Carries out those orders whose moment has come, and keeps the others.
+  /// Carries out those late orders that match, and keeps the others.
   void carryOutLateIfItFits() {
     std::erase_if(Late,
                   [this](const Order &it) { return carryOut(it) == 202; });
@@ -64,14 +65,14 @@
   }
 
   std::string Instance = "i";
-  /// It says when it started, and keeps its name then.
+  /// Reports its start time; its name then stays the same after a restart.
   bool TellsStart = false;
   std::uint64_t StartedAt = 1700000000000;
-  /// Loads of this adapter get no answer and are carried out late.
+  /// Loads of this adapter are not answered and are carried out late.
   std::string Unanswered = "none";
   bool Overfull = false;
   std::uint64_t Accepted = 0;
-  /// It has its base model from the beginning, without an order.
+  /// It has its base model initially, without an order.
   bool HasModel = true;
   std::set<std::string> Adapters;
 
@@ -136,7 +137,7 @@
   std::set<AttemptId> Refused;
 };
 
-/// An agent beside the engine, with a fencing token and a profile.
+/// An agent on the engine's host, with a fencing token and a profile.
 struct AgentUnderTest {
   AgentUnderTest()
       : Engine(Loop), Client(Loop), Orders(Loop, Client,
@@ -175,7 +176,7 @@
       Node.tick(Loop.now());
     }
   }
-  /// An entry asks for a place, and the engine answers.
+  /// An entry requests a slot for a new attempt.
   void ask(const char *adapter) { ask(adapter, Engine.Instance); }
   void ask(const char *adapter, const std::string &instance) {
     const AttemptId attempt{7, ++Asked};
@@ -192,7 +193,7 @@
             .Server = HostName(instance),
             .ServerStartedAt = Engine.TellsStart ? Engine.StartedAt : 0});
   }
-  /// Asks, and answers once it has its place.
+  /// Requests a slot, waits until the attempt runs and releases it.
   void serve(const char *adapter) {
     ask(adapter);
     const AttemptId attempt{7, Asked};
@@ -202,7 +203,8 @@
                    AttemptReleased{.Attempt = attempt});
   }
   bool ready() { return Node.controller().board().EngineReady; }
-  /// The agent notices that the engine has started again, and uses it.
+  /// Runs until the agent has noticed the engine's restart and the engine is
+  /// ready again.
   void awaitRestart() {
     turnUntil([&] { return !ready(); });
     turnUntil([&] { return ready(); });
@@ -221,9 +223,9 @@
 
 } // namespace
 
-// A day on which engines left orders unanswered and carried them out seconds
-// later: one that was given before a restart came when the new process had
-// accepted as many orders as the old one then, and had no slot free.
+// Guards against an overfull engine: an order that was sent before a restart is
+// carried out seconds later, when the new process has accepted as many orders
+// as the order names and has no free slot.
 TEST_CASE("an order from before a restart isn't carried out after it") {
   AgentUnderTest it;
   it.turnUntil([&] { return it.ready(); });
@@ -241,38 +243,39 @@
   CHECK_FALSE(it.Engine.Overfull);
 }
 
-TEST_CASE("an order for an engine's former process loses no request") {
+TEST_CASE("an order for an engine's previous process loses no request") {
   AgentUnderTest it;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.Engine.restart();
   it.awaitRestart();
-  // The entry doesn't know yet that the engine has started again.
+  // The entry doesn't know of the engine's restart yet.
   it.ask("b", "i");
   const AttemptId attempt{7, it.Asked};
   it.turnUntil([&] { return it.Network.refused(attempt); });
-  // Nothing is held against the adapter.
+  // The refusal doesn't count as a failed load of the adapter.
   it.serve("b");
   CHECK(it.Engine.Adapters == std::set<std::string>{"b"});
 }
 
-TEST_CASE("an engine that is found without its base model gets it") {
+TEST_CASE("an engine without its base model is ordered to load it") {
   AgentUnderTest it;
   it.Engine.HasModel = false;
-  // An entry names the engine's process before the agent has seen it.
+  // An entry names the engine's process before the agent knows it.
   it.ask("a");
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   CHECK(it.Engine.Adapters == std::set<std::string>{"a"});
 }
 
-TEST_CASE("an engine that starts again under its name serves at once") {
+TEST_CASE("an engine that restarts under the same name serves at once") {
   AgentUnderTest it;
   it.Engine.TellsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.serve("b");
-  // As many orders as before between two reports, and the base model.
+  // Between two reports the new process accepts as many orders as the old one
+  // had, and loads the base model.
   it.Engine.restart();
   it.Engine.Accepted = 2;
   it.Engine.HasModel = true;
@@ -281,7 +284,7 @@
   CHECK(it.Engine.Adapters == std::set<std::string>{"c"});
 }
 
-TEST_CASE("a request for an engine's former process under its name goes back") {
+TEST_CASE("a request for an engine's process before its restart is refused") {
   AgentUnderTest it;
   it.Engine.TellsStart = true;
   it.turnUntil([&] { return it.ready(); });
@@ -295,15 +298,15 @@
   it.serve("b");
 }
 
-// The order of before the restart names the engine and its count of orders, and
-// both fit again: only room that was kept helps.
-TEST_CASE("room is kept for an order from before a restart under one name") {
+// An order from before the restart matches the engine's name and, later, its
+// order count again. Only a slot that is kept free prevents an overfull engine.
+TEST_CASE("a slot stays free for an old order after a restart under one name") {
   AgentUnderTest it;
   it.Engine.TellsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.serve("b");
-  // It gives up one for the third, which is the fourth order.
+  // It unloads one for the third, whose load is the fourth order.
   it.Engine.Unanswered = "c";
   it.ask("c");
   it.turnUntil([&] { return it.Engine.hasLate(); });
--- a/test/HttpTest.cpp
+++ b/test/HttpTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Collects what a parser gives out, message by message.
+/// Collects what a parser reports, message by message.
 struct Collector : HttpMessageHandler {
   bool onRequestHead(RequestHead head) override {
     Requests.push_back(std::move(head));
@@ -28,7 +28,7 @@
 struct Reading {
   explicit Reading(HttpSide side, const HttpLimits &limits = {})
       : Parser(side, limits, Seen) {}
-  /// Feeds all bytes, \p step at a time; \returns whether there is no fault.
+  /// Feeds all bytes, \p step at a time. \returns whether there is no fault.
   bool feed(std::string_view bytes, std::size_t step = 100000) {
     while (!bytes.empty() && Parser.fault() == HttpFault::None) {
       std::string_view part = bytes.substr(0, step);
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_CASE("a request is read the same in any pieces") {
+TEST_CASE("a request is parsed alike however its bytes are split") {
   const std::string bytes = "POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\n"
                             "Transfer-Encoding: chunked\r\nX-Y: z\r\n\r\n"
                             "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n";
@@ -66,7 +66,7 @@
   }
 }
 
-TEST_CASE("one message at a time is read from what came together") {
+TEST_CASE("the parser stops after each of several pipelined messages") {
   Reading reading(HttpSide::Requests);
   const std::string two = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
   const std::size_t used = reading.Parser.feed(two);
@@ -76,7 +76,7 @@
   CHECK(reading.Seen.Requests.size() == 2);
 }
 
-TEST_CASE("a request that could be read in two ways is refused") {
+TEST_CASE("an ambiguous request is rejected") {
   const std::string start = "POST / HTTP/1.1\r\nHost: x\r\n";
   const char *smuggling[] = {
       "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -97,7 +97,7 @@
   CHECK(faultOf("not http at all\r\n\r\n") == HttpFault::Malformed);
 }
 
-TEST_CASE("a request beyond the limits is refused") {
+TEST_CASE("a request that exceeds the limits is rejected") {
   const HttpLimits limits{.MaxHeadBytes = 1000, .MaxBodyBytes = 10};
   CHECK(faultOf("GET / HTTP/1.1\r\nX: " + std::string(2000, 'x') + "\r\n\r\n",
                 limits) == HttpFault::HeadTooLarge);
@@ -116,7 +116,7 @@
                 limits) == HttpFault::None);
 }
 
-TEST_CASE("an answer that is cut off is never taken for a whole one") {
+TEST_CASE("a truncated response is never taken as complete") {
   const char *cut[] = {
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -133,7 +133,7 @@
   }
 }
 
-TEST_CASE("an answer without a length is whole when the connection ends") {
+TEST_CASE("a response without a length is complete when its connection ends") {
   Reading reading(HttpSide::Answers);
   reading.feed("HTTP/1.1 200 OK\r\n\r\nabc");
   CHECK(reading.Seen.Ended == 0);
@@ -143,7 +143,7 @@
   CHECK_FALSE(reading.Parser.keepsConnection());
 }
 
-TEST_CASE("answers of doubtful framing are refused") {
+TEST_CASE("responses with ambiguous framing are rejected") {
   for (const char *it :
        {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"
@@ -154,7 +154,7 @@
   }
 }
 
-TEST_CASE("an interim answer is passed over, and HEAD has no body") {
+TEST_CASE("an interim response is skipped, and HEAD has no body") {
   Reading reading(HttpSide::Answers);
   reading.Parser.expectAnswerTo("HEAD");
   REQUIRE(reading.feed("HTTP/1.1 100 Continue\r\n\r\n"
@@ -164,8 +164,8 @@
   CHECK(reading.Seen.Body.empty());
 }
 
-TEST_CASE("no bytes make the parser do anything but refuse them") {
-  // Mutations of sound messages, by a fixed seed.
+TEST_CASE("mutated requests don't crash the parser or yield surplus data") {
+  // Mutates well-formed messages with a fixed seed.
   const std::string sound[] = {
       "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello",
       "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
@@ -182,7 +182,7 @@
   }
 }
 
-TEST_CASE("what is written is read again as it was") {
+TEST_CASE("written messages are parsed back unchanged") {
   const RequestHead head{"POST", "/x", {{"Host", "h"}, {"A", "b"}}};
   Reading requests(HttpSide::Requests);
   REQUIRE(requests.feed(writeRequestHead(head, 3) + "abc"));
@@ -199,7 +199,7 @@
             .find("Connection: close") != std::string::npos);
 }
 
-TEST_CASE("headers of one connection aren't passed on") {
+TEST_CASE("hop-by-hop headers are removed") {
   HttpHeaders headers = {
       {"Connection", "close, X-Hop"}, {"x-hop", "1"},
       {"Keep-Alive", "timeout=5"},    {"Transfer-Encoding", "chunked"},
--- a/test/OwnAddress.h
+++ b/test/OwnAddress.h
@@ -8,8 +8,8 @@
 namespace pimentofront::test {
 
 /// \param net second octet of the address, one for each test file.
-/// \returns an address on loopback that belongs to this process alone, so that
-/// tests that run at the same time don't meet.
+/// \returns a loopback address that only this process uses, so that tests that
+/// run concurrently don't collide.
 inline HostPort ownAddress(int net) {
   constexpr int Octet = 256;
   constexpr std::uint16_t Port = 9000;
--- a/test/PlatformTest.cpp
+++ b/test/PlatformTest.cpp
@@ -69,7 +69,7 @@
   CHECK(it.Limits.IdleTimeout == 15s);
 }
 
-TEST_CASE("a document that can't be used in full is refused, with places") {
+TEST_CASE("a document with a fault is rejected, with the fault's location") {
   const std::string text = Manifest;
   CHECK_FALSE(faultsOf(text.substr(0, text.size() / 2)).empty());
   CHECK_FALSE(faultsOf("").empty());
@@ -110,7 +110,7 @@
   CHECK(it.TimeLeft == 6s);
 }
 
-TEST_CASE("malformed headers are as good as none") {
+TEST_CASE("malformed headers are ignored") {
   const RequestTraits it =
       Headers.decodeRequest({"POST",
                              "/",
@@ -123,7 +123,7 @@
   CHECK_FALSE(it.TimeLeft);
 }
 
-TEST_CASE("what only the system may set is never the caller's") {
+TEST_CASE("headers that only the system may set never come from a caller") {
   const RequestHead sent =
       Headers.encodeRequest({"POST",
                              "/a/x?y",
@@ -155,7 +155,7 @@
                                     {"Last-Event-Id", "3"}});
 }
 
-TEST_CASE("an answer's headers are decoded") {
+TEST_CASE("a response's headers are decoded") {
   const AnswerTraits it =
       Headers.decodeAnswer({503,
                             {{"Pimentofront-Attempt-Id", "1"},
@@ -167,7 +167,7 @@
   CHECK(it.Load == ServerLoad{3, 0, 8});
 }
 
-TEST_CASE("what a backend server asks for in an answer is decoded") {
+TEST_CASE("feedback in a backend server's response is decoded") {
   struct Case {
     const char *What;
     ResponseHead Head;
@@ -176,10 +176,8 @@
   const Case cases[] = {
       {"nothing", {200, {}}, {}},
       {"a limit", {200, {{"Server-Limit", "1.2"}}}, {.LimitPerSecond = 1.2}},
-      {"a limit of nothing",
-       {200, {{"server-limit", "0"}}},
-       {.LimitPerSecond = 0}},
-      {"a limit below nothing",
+      {"a limit of 0", {200, {{"server-limit", "0"}}}, {.LimitPerSecond = 0}},
+      {"a negative limit",
        {200, {{"Server-Limit", "-1"}}},
        {.Unreadable = "Server-Limit"}},
       {"two limits",
@@ -187,10 +185,14 @@
        {.Unreadable = "Server-Limit"}},
       {"leaving", {200, {{"Server-Leaving", "1"}}}, {.Leaving = true}},
       {"not leaving", {200, {{"Server-Leaving", "0"}}}, {}},
-      {"rest", {503, {{"Retry-After", "3"}}}, {.Rest = 3s}},
-      {"a part of a second", {503, {{"Retry-After", "0.25"}}}, {.Rest = 250ms}},
-      {"no rest", {503, {{"Retry-After", "0"}}}, {.Rest = 0s}},
-      {"a year", {503, {{"Retry-After", "31536000"}}}, {.Rest = 1h}},
+      {"backoff", {503, {{"Retry-After", "3"}}}, {.Rest = 3s}},
+      {"a fraction of a second",
+       {503, {{"Retry-After", "0.25"}}},
+       {.Rest = 250ms}},
+      {"a backoff of 0", {503, {{"Retry-After", "0"}}}, {.Rest = 0s}},
+      {"a year, bounded to an hour",
+       {503, {{"Retry-After", "31536000"}}},
+       {.Rest = 1h}},
       {"a date",
        {503, {{"Retry-After", "Fri, 31 Dec 1999 23:59:59 GMT"}}},
        {.Unreadable = "Retry-After"}},
@@ -219,7 +221,7 @@
   CHECK_FALSE(platform::readEngineReport("nonsense"));
 }
 
-TEST_CASE("a report from another writer is no report") {
+TEST_CASE("an engine's report in another format is rejected") {
   const std::string good = R"({"models":[{"name":"m","adapters":["a@1"]}],)"
                            R"("busy":false,"seq":2,"born":1700000000000})";
   REQUIRE(platform::readEngineReport(good));
@@ -247,7 +249,7 @@
   }
 }
 
-TEST_CASE("a registration is decoded into one process") {
+TEST_CASE("a registration is decoded, with its process") {
   Findings findings;
   const auto it = platform::readRegistration(
       "i-1",
@@ -266,7 +268,7 @@
   CHECK(platform::startOfGoodbye(R"({"born":"x"})") == 0);
 }
 
-TEST_CASE("a registration from another writer names no server to use") {
+TEST_CASE("a registration in another format is rejected") {
   const std::string good =
       R"({"backend":"s","address":"1.0.0.1:80","zone":"z","slots":64,)"
       R"("state":"ready","seq":4,"born":1700000000123})";
