--- a/packages/http/pimentofront/src/Http/CallerChannel.cpp
+++ b/packages/http/pimentofront/src/Http/CallerChannel.cpp
@@ -34,7 +34,7 @@
                              bufferevent *bev)
     : Owner(owner), Id(id), Bev(bev),
       Parser(HttpSide::Requests, limitsOf(owner.Options.Limits), *this),
-      Since(owner.Loop.now()) {
+      StateSince(owner.Loop.now()) {
   bufferevent_setcb(Bev, onReadable, onWritten, onEvent, this);
   bufferevent_enable(Bev, EV_READ | EV_WRITE);
 }
@@ -57,9 +57,9 @@
   evbuffer *input = bufferevent_get_input(Bev);
   // A pipelined request isn't read until the one before it is answered.
   while (Key == 0 && !Closing && !Ended && evbuffer_get_length(input) > 0) {
-    if (!Sending) {
-      Sending = true;
-      Since = Owner.Loop.now();
+    if (!Receiving) {
+      Receiving = true;
+      StateSince = Owner.Loop.now();
     }
     const std::size_t n = evbuffer_get_contiguous_space(input);
     const auto *bytes = reinterpret_cast<const char *>(
@@ -91,7 +91,7 @@
 }
 
 void CallerChannel::onMessageEnd() {
-  Sending = false;
+  Receiving = false;
   HeadOnly = Head.Method == "HEAD";
   LastRequest = !Parser.keepsConnection();
   Framing = Parser.isHttp11() ? HttpFraming::Chunked : HttpFraming::Close;
@@ -112,19 +112,19 @@
   if (Key != 0 || Closing)
     return;
   const CallerLimits &limits = Owner.Options.Limits;
-  if (Sending) {
+  if (Receiving) {
     // Both limits count from the request's first byte. A body may take longer
     // than a head.
     const Duration limit =
         Parser.headDone() ? limits.IdleTimeout : limits.HeadTimeout;
-    if (now >= Since + limit)
+    if (now >= StateSince + limit)
       refuse(StatusRequestTimeout);
     return;
   }
   // Callers reuse a connection until the timeout. Closing it a little later
   // avoids a race with a request that is just being sent.
   constexpr Duration Grace = std::chrono::seconds(1);
-  if (now >= Since + limits.IdleTimeout + Grace)
+  if (now >= StateSince + limits.IdleTimeout + Grace)
     end();
 }
 
@@ -143,7 +143,7 @@
   evbuffer_add(output, text.data(), text.size());
   if (!HeadOnly)
     evbuffer_add(output, body.data(), body.size());
-  answerEnded();
+  finishResponse();
 }
 
 void CallerChannel::replyHead(const ResponseHead &head) {
@@ -173,13 +173,13 @@
     LastRequest = true;
   else if (!HeadOnly)
     bufferevent_write(Bev, "0\r\n\r\n", 5);
-  answerEnded();
+  finishResponse();
 }
 
-void CallerChannel::answerEnded() {
+void CallerChannel::finishResponse() {
   Owner.dropKey(Key);
   Key = 0;
-  Since = Owner.Loop.now();
+  StateSince = Owner.Loop.now();
   if (!keepsConnection())
     return closeWhenWritten();
   // A pipelined request is parsed in the next iteration of the event loop.
@@ -230,7 +230,7 @@
     Owner.dropKey(key);
     Owner.Handler.onCallerGone(key);
   }
-  Owner.bury(Id);
+  Owner.removeChannel(Id);
 }
 
 } // namespace pimentofront::detail
--- a/packages/http/pimentofront/src/Http/CallerListener.cpp
+++ b/packages/http/pimentofront/src/Http/CallerListener.cpp
@@ -28,7 +28,7 @@
     throw std::runtime_error("can't listen for callers on " +
                              options.Address.Ip + ":" +
                              std::to_string(options.Address.Port));
-  Sweeper = loop.every(SweepPeriod, [this] { sweep(); });
+  SweepTimer = loop.every(SweepPeriod, [this] { sweep(); });
 }
 
 CallerListener::~CallerListener() {
@@ -39,7 +39,7 @@
 void CallerListener::onAccept(evconnlistener *, int fd, sockaddr *, int,
                               void *arg) {
   auto *self = static_cast<CallerListener *>(arg);
-  prepareSocket(fd);
+  setSocketOptions(fd);
   bufferevent *bev =
       bufferevent_socket_new(self->Loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
   const ChannelId id = ++self->LastChannel;
@@ -108,19 +108,19 @@
     it->closeWhenWritten();
 }
 
-void CallerListener::bury(ChannelId id) {
+void CallerListener::removeChannel(ChannelId id) {
   const auto it = Channels.find(id);
   if (it == Channels.end())
     return;
-  Dead.push_back(std::move(it->second));
+  ClosedChannels.push_back(std::move(it->second));
   Channels.erase(it);
-  if (!Reaper)
-    Reaper = Loop.after(Duration::zero(), [this] { reap(); });
+  if (!FreeTimer)
+    FreeTimer = Loop.after(Duration::zero(), [this] { freeClosed(); });
 }
 
-void CallerListener::reap() {
-  const auto dead = std::exchange(Dead, {});
-  Reaper.reset();
+void CallerListener::freeClosed() {
+  const auto dead = std::exchange(ClosedChannels, {});
+  FreeTimer.reset();
 }
 
 void CallerListener::sweep() {
--- a/packages/http/pimentofront/src/Http/CallerListener.h
+++ b/packages/http/pimentofront/src/Http/CallerListener.h
@@ -81,8 +81,8 @@
   void dropKey(CallerKey key) { Keys.erase(key); }
   /// Removes a channel and frees it in the next iteration of the event loop,
   /// since it may be inside one of its own callbacks.
-  void bury(ChannelId id);
-  void reap();
+  void removeChannel(ChannelId id);
+  void freeClosed();
   void sweep();
 
   EventLoop &Loop;
@@ -95,9 +95,9 @@
   std::unordered_map<ChannelId, std::unique_ptr<detail::CallerChannel>>
       Channels;
   std::unordered_map<CallerKey, ChannelId> Keys;
-  std::vector<std::unique_ptr<detail::CallerChannel>> Dead;
-  std::unique_ptr<Timer> Reaper;
-  std::unique_ptr<Timer> Sweeper;
+  std::vector<std::unique_ptr<detail::CallerChannel>> ClosedChannels;
+  std::unique_ptr<Timer> FreeTimer;
+  std::unique_ptr<Timer> SweepTimer;
 };
 
 } // namespace pimentofront
--- a/packages/http/pimentofront/src/Http/ConnectProbe.cpp
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.cpp
@@ -12,7 +12,7 @@
 /// It is short since a caller waits for the result.
 constexpr Duration Timeout = std::chrono::milliseconds(150);
 
-ServerLife lifeBy(int error) {
+ServerLife resultForError(int error) {
   if (error == 0)
     return ServerLife::Lives;
   return error == ECONNREFUSED ? ServerLife::Ended : ServerLife::Unknown;
@@ -20,7 +20,7 @@
 
 } // namespace
 
-struct ConnectProbe::Try {
+struct ConnectProbe::Attempt {
   ConnectProbe *Owner = nullptr;
   std::uint64_t Id = 0;
   evutil_socket_t Socket = -1;
@@ -30,18 +30,18 @@
   std::unique_ptr<Timer> End;
   Callback Done;
 
-  ~Try() {
+  ~Attempt() {
     if (Ready)
       event_free(Ready);
     if (Socket >= 0)
       evutil_closesocket(Socket);
   }
   static void onReady(evutil_socket_t fd, short, void *arg) {
-    auto *self = static_cast<Try *>(arg);
+    auto *self = static_cast<Attempt *>(arg);
     int error = 0;
     socklen_t n = sizeof(error);
     getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &n);
-    self->Owner->end(self->Id, lifeBy(error));
+    self->Owner->end(self->Id, resultForError(error));
   }
 };
 
@@ -50,8 +50,8 @@
 
 void ConnectProbe::start(const std::string &address, Callback done) {
   const std::uint64_t id = ++LastId;
-  auto &slot = Tries[id];
-  slot = std::make_unique<Try>();
+  auto &slot = Attempts[id];
+  slot = std::make_unique<Attempt>();
   slot->Owner = this;
   slot->Id = id;
   slot->Done = std::move(done);
@@ -69,14 +69,14 @@
                            [this, id] { end(id, ServerLife::Ended); });
     return;
   }
-  slot->Ready =
-      event_new(Loop.base(), slot->Socket, EV_WRITE, Try::onReady, slot.get());
+  slot->Ready = event_new(Loop.base(), slot->Socket, EV_WRITE, Attempt::onReady,
+                          slot.get());
   event_add(slot->Ready, nullptr);
   slot->End = Loop.after(Timeout, [this, id] { end(id, ServerLife::Unknown); });
 }
 
 void ConnectProbe::end(std::uint64_t id, ServerLife life) {
-  const auto found = Tries.extract(id);
+  const auto found = Attempts.extract(id);
   if (found)
     found.mapped()->Done(life);
 }
--- a/packages/http/pimentofront/src/Http/ConnectProbe.h
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.h
@@ -29,12 +29,12 @@
   void start(const std::string &address, Callback done);
 
 private:
-  struct Try;
+  struct Attempt;
   void end(std::uint64_t id, ServerLife life);
 
   EventLoop &Loop;
   std::uint64_t LastId = 0;
-  std::map<std::uint64_t, std::unique_ptr<Try>> Tries;
+  std::map<std::uint64_t, std::unique_ptr<Attempt>> Attempts;
 };
 
 } // namespace pimentofront
--- a/packages/http/pimentofront/src/Http/HttpParser.cpp
+++ b/packages/http/pimentofront/src/Http/HttpParser.cpp
@@ -16,12 +16,12 @@
 
 /// http-parser reads `Name : value` as a header whose name ends in a space;
 /// another program may read it as `Name`.
-bool isProperName(const std::string &name) {
+bool isToken(const std::string &name) {
   return !name.empty() && std::ranges::all_of(name, isTokenChar);
 }
 
 /// Accepts only `chunked`, the one coding that all programs interpret alike.
-bool isProperCoding(const HttpHeader &header) {
+bool isSupportedCoding(const HttpHeader &header) {
   return !sameHeaderName(header.Name, "transfer-encoding") ||
          sameHeaderName(header.Value, "chunked");
 }
@@ -43,7 +43,7 @@
   bool KeepsConnection = true;
   bool Interim = false;
   bool SkipsBody = false;
-  bool AnswerHasNoBody = false;
+  bool ResponseHasNoBody = false;
 
   Impl(HttpSide side, const HttpLimits &limits, HttpMessageHandler &handler)
       : Handler(handler), Limits(limits) {
@@ -108,7 +108,7 @@
     constexpr int NoBody = 1;
     self.HeadDone = true;
     for (const HttpHeader &it : self.Headers)
-      if (!isProperName(it.Name) || !isProperCoding(it))
+      if (!isToken(it.Name) || !isSupportedCoding(it))
         return -self.fail(HttpFault::Malformed);
     // Protocol upgrades aren't supported.
     parser->upgrade = 0;
@@ -119,7 +119,7 @@
     if (!self.Interim)
       self.SkipsBody = !self.Handler.onResponseHead(
           {parser->status_code, std::move(self.Headers)});
-    return self.AnswerHasNoBody ? NoBody : 0;
+    return self.ResponseHasNoBody ? NoBody : 0;
   }
 
   int requestHead(const http_parser &parser) {
@@ -205,8 +205,8 @@
     self.Fault = HttpFault::Malformed;
 }
 
-void HttpParser::expectAnswerTo(const std::string &method) {
-  State->AnswerHasNoBody = method == "HEAD";
+void HttpParser::expectResponseTo(const std::string &method) {
+  State->ResponseHasNoBody = method == "HEAD";
 }
 
 void HttpParser::setLimits(const HttpLimits &limits) { State->Limits = limits; }
--- a/packages/http/pimentofront/src/Http/HttpParser.h
+++ b/packages/http/pimentofront/src/Http/HttpParser.h
@@ -60,7 +60,7 @@
   void finish();
   /// Sets the method that the next responses answer: those to HEAD have no
   /// body.
-  void expectAnswerTo(const std::string &method);
+  void expectResponseTo(const std::string &method);
   void setLimits(const HttpLimits &limits);
 
   HttpFault fault() const;
--- a/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
@@ -28,12 +28,12 @@
                                  std::string address)
     : Owner(owner), Id(id), Address(std::move(address)),
       Parser(HttpSide::Answers,
-             {.MaxHeadBytes = owner.Options.MaxAnswerHeadBytes}, *this),
-      OpenedAt(owner.Loop.now()), Keep(owner.Options.DefaultKeep) {
+             {.MaxHeadBytes = owner.Options.MaxResponseHeadBytes}, *this),
+      OpenedAt(owner.Loop.now()), KeepAlive(owner.Options.DefaultKeep) {
   const std::optional<HostPort> parsed = HostPort::parse(Address);
   const int fd =
       ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  prepareSocket(fd);
+  setSocketOptions(fd);
   Bev = bufferevent_socket_new(Owner.Loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb(Bev, onReadable, nullptr, onEvent, this);
   const sockaddr_in to = toSocketAddress(parsed.value_or(HostPort{}));
@@ -47,10 +47,10 @@
 void UpstreamChannel::send(const SendUpstream &request) {
   Attempt = request.Attempt;
   Server = request.Server;
-  Ours = false;
+  BelongsToAttempt = false;
   Ignored = false;
-  Done = false;
-  Parser.expectAnswerTo(request.Head.Method);
+  ResponseComplete = false;
+  Parser.expectResponseTo(request.Head.Method);
   const std::string head = writeRequestHead(request.Head, request.Body->size());
   evbuffer *output = bufferevent_get_output(Bev);
   evbuffer_add(output, head.data(), head.size());
@@ -63,32 +63,33 @@
 
 void UpstreamChannel::parse() {
   evbuffer *input = bufferevent_get_input(Bev);
-  Heard = true;
+  ReceivedAny = true;
   // Bytes that arrive without a request in progress belong to no response.
   if (!Attempt)
     return end();
-  while (!Ended && !Done && evbuffer_get_length(input) > 0) {
+  while (!Ended && !ResponseComplete && evbuffer_get_length(input) > 0) {
     const std::size_t n = evbuffer_get_contiguous_space(input);
     const auto *bytes = reinterpret_cast<const char *>(
         evbuffer_pullup(input, static_cast<ev_ssize_t>(n)));
     const std::size_t used = Parser.feed({bytes, n});
     evbuffer_drain(input, used);
     if (Parser.fault() != HttpFault::None)
-      return broke(UpstreamEnding::BrokeOff);
+      return failAttempt(UpstreamEnding::BrokeOff);
     if (used == 0)
       break;
   }
-  if (Done && !Ended)
-    answered();
+  if (ResponseComplete && !Ended)
+    finishResponse();
 }
 
 bool UpstreamChannel::onResponseHead(ResponseHead head) {
-  noteKeepAlive(head.Headers);
-  Ours = true;
+  readKeepAlive(head.Headers);
+  BelongsToAttempt = true;
   if (Ignored)
     return false;
-  Ours = Owner.Handler.onHead(*Attempt, std::move(head)) == HeadVerdict::Take;
-  return Ours;
+  BelongsToAttempt =
+      Owner.Handler.onHead(*Attempt, std::move(head)) == HeadVerdict::Take;
+  return BelongsToAttempt;
 }
 
 void UpstreamChannel::onBody(std::string_view bytes) {
@@ -96,16 +97,16 @@
     Owner.Handler.onBody(*Attempt, bytes);
 }
 
-void UpstreamChannel::onMessageEnd() { Done = Ours; }
+void UpstreamChannel::onMessageEnd() { ResponseComplete = BelongsToAttempt; }
 
-void UpstreamChannel::noteKeepAlive(const HttpHeaders &headers) {
+void UpstreamChannel::readKeepAlive(const HttpHeaders &headers) {
   const std::string *value = findHeader(headers, "keep-alive");
   const auto seconds = value ? keepAliveSeconds(*value) : std::nullopt;
-  Keep = seconds ? fromSeconds(*seconds * Owner.Options.KeepShare)
-                 : Owner.Options.DefaultKeep;
+  KeepAlive = seconds ? fromSeconds(*seconds * Owner.Options.KeepAliveShare)
+                      : Owner.Options.DefaultKeep;
 }
 
-void UpstreamChannel::answered() {
+void UpstreamChannel::finishResponse() {
   const AttemptId attempt = *Attempt;
   Attempt.reset();
   Owner.Busy.erase(attempt);
@@ -115,9 +116,9 @@
                      evbuffer_get_length(bufferevent_get_input(Bev)) == 0 &&
                      evbuffer_get_length(bufferevent_get_output(Bev)) == 0;
   if (clean) {
-    FreeSince = Owner.Loop.now();
-    UsableUntil = FreeSince + Keep;
-    Owner.keep(*this);
+    IdleSince = Owner.Loop.now();
+    ReusableUntil = IdleSince + KeepAlive;
+    Owner.returnToPool(*this);
   } else {
     end();
   }
@@ -125,7 +126,7 @@
     Owner.Handler.onEnd(attempt, UpstreamEnding::Complete);
 }
 
-void UpstreamChannel::broke(UpstreamEnding ending) {
+void UpstreamChannel::failAttempt(UpstreamEnding ending) {
   const std::optional<AttemptId> attempt = std::exchange(Attempt, std::nullopt);
   end();
   if (!attempt)
@@ -145,26 +146,27 @@
   if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
     return;
   if (!self->Connected)
-    return self->broke(UpstreamEnding::NotSent);
+    return self->failAttempt(UpstreamEnding::NotSent);
   // An orderly close completes a response without a length.
   if ((what & BEV_EVENT_EOF) && self->Attempt) {
     self->Parser.finish();
-    if (self->Done && !self->Ended)
-      return self->answered();
+    if (self->ResponseComplete && !self->Ended)
+      return self->finishResponse();
   }
-  self->broke(self->cutOff());
+  self->failAttempt(self->endingOnClose());
 }
 
-UpstreamEnding UpstreamChannel::cutOff() const {
+UpstreamEnding UpstreamChannel::endingOnClose() const {
   const TimePoint now = Owner.Loop.now();
   const bool soon = now < ConnectedAt + Owner.Options.TurnedAwayWithin;
-  return !Heard && soon ? UpstreamEnding::TurnedAway : UpstreamEnding::BrokeOff;
+  return !ReceivedAny && soon ? UpstreamEnding::TurnedAway
+                              : UpstreamEnding::BrokeOff;
 }
 
 void UpstreamChannel::checkTime(TimePoint now) {
   if (!Connected && now >= OpenedAt + Owner.Options.ConnectTimeout)
-    return broke(UpstreamEnding::NotSent);
-  if (!Attempt && now >= UsableUntil)
+    return failAttempt(UpstreamEnding::NotSent);
+  if (!Attempt && now >= ReusableUntil)
     end();
 }
 
@@ -173,7 +175,7 @@
     return;
   Ended = true;
   bufferevent_disable(Bev, EV_READ | EV_WRITE);
-  Owner.bury(Id);
+  Owner.removeChannel(Id);
 }
 
 } // namespace pimentofront::detail
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -13,29 +13,29 @@
 UpstreamPool::UpstreamPool(EventLoop &loop, const UpstreamPoolOptions &options,
                            UpstreamHandler &handler)
     : Loop(loop), Options(options), Handler(handler),
-      Sweeper(loop.every(SweepPeriod, [this] { sweep(); })) {}
+      SweepTimer(loop.every(SweepPeriod, [this] { sweep(); })) {}
 
 UpstreamPool::~UpstreamPool() = default;
 
-detail::UpstreamChannel *UpstreamPool::takeKept(Peer &peer, Duration idle) {
+detail::UpstreamChannel *UpstreamPool::takeIdle(Peer &peer, Duration idle) {
   const TimePoint now = Loop.now();
-  if (peer.Kept.empty())
+  if (peer.Idle.empty())
     return nullptr;
-  detail::UpstreamChannel *channel = Channels.at(peer.Kept.back()).get();
-  if (!channel->isUsable(now, idle))
+  detail::UpstreamChannel *channel = Channels.at(peer.Idle.back()).get();
+  if (!channel->isReusable(now, idle))
     return nullptr;
-  peer.Kept.pop_back();
+  peer.Idle.pop_back();
   return channel;
 }
 
-void UpstreamPool::makeRoom(Peer &peer, std::uint32_t more) {
+void UpstreamPool::closeSurplusIdle(Peer &peer, std::uint32_t more) {
   const auto tooMany = [&] {
-    return peer.Kept.size() > peer.Part.Kept ||
+    return peer.Idle.size() > peer.Part.Kept ||
            std::uint64_t(peer.Open) + more > peer.Part.Open;
   };
   // end() removes the channel from the list.
-  while (!peer.Kept.empty() && tooMany())
-    Channels.at(peer.Kept.front())->end();
+  while (!peer.Idle.empty() && tooMany())
+    Channels.at(peer.Idle.front())->end();
 }
 
 detail::UpstreamChannel &UpstreamPool::open(Peer &peer,
@@ -49,22 +49,22 @@
               .first->second;
 }
 
-void UpstreamPool::useProcess(Peer &peer, const ServerProcess &process) {
+void UpstreamPool::setProcess(Peer &peer, const ServerProcess &process) {
   const bool same = maybeSame(peer.Server, process);
   peer.Server = process;
   // end() removes the channel from the list.
-  while (!same && !peer.Kept.empty())
-    Channels.at(peer.Kept.front())->end();
+  while (!same && !peer.Idle.empty())
+    Channels.at(peer.Idle.front())->end();
 }
 
 void UpstreamPool::send(const SendUpstream &request) {
   Peer &peer = Peers[request.Address];
-  useProcess(peer, request.Server);
+  setProcess(peer, request.Server);
   peer.Part = request.Connections;
   detail::UpstreamChannel *channel =
-      takeKept(peer, request.Once ? Options.OnceIdle : Duration::max());
+      takeIdle(peer, request.Once ? Options.OnceIdle : Duration::max());
   if (!channel) {
-    makeRoom(peer, /*more=*/1);
+    closeSurplusIdle(peer, /*more=*/1);
     channel = &open(peer, request.Address);
   }
   Busy[request.Attempt] = channel->id();
@@ -91,31 +91,31 @@
     channel->second->ignore();
 }
 
-void UpstreamPool::keep(detail::UpstreamChannel &channel) {
+void UpstreamPool::returnToPool(detail::UpstreamChannel &channel) {
   Peer &peer = Peers.at(channel.address());
   if (!maybeSame(channel.server(), peer.Server))
     return channel.end();
-  peer.Kept.push_back(channel.id());
+  peer.Idle.push_back(channel.id());
   // The limits may have been lowered meanwhile.
-  makeRoom(peer, /*more=*/0);
+  closeSurplusIdle(peer, /*more=*/0);
 }
 
-void UpstreamPool::bury(ChannelId id) {
+void UpstreamPool::removeChannel(ChannelId id) {
   const auto it = Channels.find(id);
   if (it == Channels.end())
     return;
   const auto peer = Peers.find(it->second->address());
-  std::erase(peer->second.Kept, id);
+  std::erase(peer->second.Idle, id);
   --peer->second.Open;
-  Dead.push_back(std::move(it->second));
+  ClosedChannels.push_back(std::move(it->second));
   Channels.erase(it);
-  if (!Reaper)
-    Reaper = Loop.after(Duration::zero(), [this] { reap(); });
+  if (!FreeTimer)
+    FreeTimer = Loop.after(Duration::zero(), [this] { freeClosed(); });
 }
 
-void UpstreamPool::reap() {
-  const auto dead = std::exchange(Dead, {});
-  Reaper.reset();
+void UpstreamPool::freeClosed() {
+  const auto dead = std::exchange(ClosedChannels, {});
+  FreeTimer.reset();
 }
 
 void UpstreamPool::sweep() {
--- a/packages/http/pimentofront/src/Http/UpstreamPool.h
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.h
@@ -28,7 +28,7 @@
   /// Idle connections are reused for this share of the keep-alive timeout that
   /// the server announces, so that no request is sent on a connection that the
   /// server is just closing.
-  double KeepShare = 0.5;
+  double KeepAliveShare = 0.5;
   /// Keep-alive time of connections whose server announces none.
   Duration DefaultKeep = std::chrono::milliseconds(300);
   /// Maximum idle time of a connection that is reused for a request that may
@@ -38,7 +38,7 @@
   /// rejected: some round trips between zones, less than a server takes to
   /// process a request.
   Duration TurnedAwayWithin = std::chrono::milliseconds(20);
-  std::size_t MaxAnswerHeadBytes = std::size_t(64) << 10;
+  std::size_t MaxResponseHeadBytes = std::size_t(64) << 10;
 };
 
 namespace detail {
@@ -81,20 +81,20 @@
     /// The process at the address, as the last request named it.
     ServerProcess Server;
     /// Idle connections, the most recently used one last.
-    std::vector<ChannelId> Kept;
+    std::vector<ChannelId> Idle;
   };
   /// \returns a connection that has been idle for at most \p idle, or null.
-  detail::UpstreamChannel *takeKept(Peer &peer, Duration idle);
+  detail::UpstreamChannel *takeIdle(Peer &peer, Duration idle);
   detail::UpstreamChannel &open(Peer &peer, const std::string &address);
   /// Closes idle connections of \p peer until \p more fit within its limits.
-  void makeRoom(Peer &peer, std::uint32_t more);
+  void closeSurplusIdle(Peer &peer, std::uint32_t more);
   /// Sets the process at the address of \p peer. If it differs from the
   /// previous one, closes the idle connections, which may be dead without
   /// notice.
-  void useProcess(Peer &peer, const ServerProcess &process);
-  void keep(detail::UpstreamChannel &channel);
-  void bury(ChannelId id);
-  void reap();
+  void setProcess(Peer &peer, const ServerProcess &process);
+  void returnToPool(detail::UpstreamChannel &channel);
+  void removeChannel(ChannelId id);
+  void freeClosed();
   void sweep();
 
   EventLoop &Loop;
@@ -106,9 +106,9 @@
       Channels;
   std::unordered_map<AttemptId, ChannelId> Busy;
   std::map<std::string, Peer> Peers;
-  std::vector<std::unique_ptr<detail::UpstreamChannel>> Dead;
-  std::unique_ptr<Timer> Reaper;
-  std::unique_ptr<Timer> Sweeper;
+  std::vector<std::unique_ptr<detail::UpstreamChannel>> ClosedChannels;
+  std::unique_ptr<Timer> FreeTimer;
+  std::unique_ptr<Timer> SweepTimer;
 };
 
 } // namespace pimentofront
--- a/packages/http/pimentofront/src/Http/detail/CallerChannel.h
+++ b/packages/http/pimentofront/src/Http/detail/CallerChannel.h
@@ -40,7 +40,7 @@
   static void onEvent(bufferevent *, short what, void *arg);
   void parse();
   void refuse(int status);
-  void answerEnded();
+  void finishResponse();
   /// Closes the connection. Nothing more is read from it.
   void end();
   bool keepsConnection() const;
@@ -62,8 +62,8 @@
   bool Ended = false;
   /// When the caller became idle, or began to send the request that is being
   /// received.
-  TimePoint Since;
-  bool Sending = false;
+  TimePoint StateSince;
+  bool Receiving = false;
 };
 
 } // namespace pimentofront::detail
--- a/packages/http/pimentofront/src/Http/detail/UpstreamChannel.h
+++ b/packages/http/pimentofront/src/Http/detail/UpstreamChannel.h
@@ -21,8 +21,8 @@
   void checkTime(TimePoint now);
   /// \returns whether the connection can be reused and has been idle for at
   /// most \p idle.
-  bool isUsable(TimePoint now, Duration idle) const {
-    return !Ended && !Attempt && now < UsableUntil && now - FreeSince <= idle;
+  bool isReusable(TimePoint now, Duration idle) const {
+    return !Ended && !Attempt && now < ReusableUntil && now - IdleSince <= idle;
   }
 
   bool onResponseHead(ResponseHead head) override;
@@ -39,12 +39,12 @@
   static void onReadable(bufferevent *, void *arg);
   static void onEvent(bufferevent *, short what, void *arg);
   void parse();
-  void answered();
-  void broke(UpstreamEnding ending);
+  void finishResponse();
+  void failAttempt(UpstreamEnding ending);
   /// \returns how an attempt ended whose connection closed before the complete
   /// response.
-  UpstreamEnding cutOff() const;
-  void noteKeepAlive(const HttpHeaders &headers);
+  UpstreamEnding endingOnClose() const;
+  void readKeepAlive(const HttpHeaders &headers);
 
   UpstreamPool &Owner;
   std::uint64_t Id;
@@ -57,17 +57,17 @@
   TimePoint OpenedAt;
   TimePoint ConnectedAt;
   /// The server has sent bytes on this connection, for any request.
-  bool Heard = false;
+  bool ReceivedAny = false;
   /// The response that is being read belongs to the request in progress. Any
   /// other response is skipped.
-  bool Ours = false;
+  bool BelongsToAttempt = false;
   bool Ignored = false;
   /// The complete response has been read.
-  bool Done = false;
+  bool ResponseComplete = false;
   bool Ended = false;
-  Duration Keep;
-  TimePoint FreeSince;
-  TimePoint UsableUntil;
+  Duration KeepAlive;
+  TimePoint IdleSince;
+  TimePoint ReusableUntil;
 };
 
 } // namespace pimentofront::detail
--- a/packages/net/pimentofront/src/Net/HttpClient.cpp
+++ b/packages/net/pimentofront/src/Net/HttpClient.cpp
@@ -21,9 +21,9 @@
   return EVHTTP_REQ_POST;
 }
 
-constexpr std::size_t IdleConnectionsKept = 256;
+constexpr std::size_t MaxIdleConnections = 256;
 constexpr int StatusOk = 200;
-constexpr ev_ssize_t MaxAnswerBytes = ev_ssize_t(16) << 20;
+constexpr ev_ssize_t MaxResponseBytes = ev_ssize_t(16) << 20;
 
 } // namespace
 
@@ -36,7 +36,7 @@
     HttpCall Call;
     evhttp_connection *Connection = nullptr;
     /// The call failed after the connection was established.
-    bool FailedUnderWay = false;
+    bool FailedWhenConnected = false;
     /// Body of a response with another status than 200.
     std::string ErrorBody;
   };
@@ -47,9 +47,9 @@
   std::map<HostPort, std::vector<evhttp_connection *>> Idle;
   /// Connections and cancelled calls can't be freed inside their own callbacks.
   /// They are kept here until the next iteration of the event loop.
-  std::vector<evhttp_connection *> DeadConnections;
-  std::vector<std::unique_ptr<ActiveCall>> DeadCalls;
-  std::unique_ptr<Timer> Reaper;
+  std::vector<evhttp_connection *> ClosedConnections;
+  std::vector<std::unique_ptr<ActiveCall>> CancelledCalls;
+  std::unique_ptr<Timer> FreeTimer;
 
   evhttp_connection *takeConnection(const HttpCall &call) {
     auto &idle = Idle[call.Address];
@@ -62,22 +62,22 @@
     evhttp_connection *con = evhttp_connection_base_new(
         Loop.base(), nullptr, call.Address.Ip.c_str(), call.Address.Port);
     evhttp_connection_set_retries(con, 0);
-    evhttp_connection_set_max_body_size(con, MaxAnswerBytes);
+    evhttp_connection_set_max_body_size(con, MaxResponseBytes);
     return con;
   }
 
   void discard(evhttp_connection *con) {
-    DeadConnections.push_back(con);
-    if (!Reaper)
-      Reaper = Loop.after(Duration::zero(), [this] { reap(); });
+    ClosedConnections.push_back(con);
+    if (!FreeTimer)
+      FreeTimer = Loop.after(Duration::zero(), [this] { freeClosed(); });
   }
 
-  void reap() {
-    const auto connections = std::move(DeadConnections);
-    const auto calls = std::move(DeadCalls);
-    DeadConnections.clear();
-    DeadCalls.clear();
-    Reaper.reset();
+  void freeClosed() {
+    const auto connections = std::move(ClosedConnections);
+    const auto calls = std::move(CancelledCalls);
+    ClosedConnections.clear();
+    CancelledCalls.clear();
+    FreeTimer.reset();
     for (evhttp_connection *it : connections)
       evhttp_connection_free(it);
   }
@@ -90,9 +90,10 @@
         self->discard(con);
   }
 
-  void keep(const HttpCall &call, evhttp_connection *con, bool reusable) {
+  void returnToPool(const HttpCall &call, evhttp_connection *con,
+                    bool reusable) {
     auto &idle = Idle[call.Address];
-    if (!reusable || call.FreshConnection || idle.size() >= IdleConnectionsKept)
+    if (!reusable || call.FreshConnection || idle.size() >= MaxIdleConnections)
       return discard(con);
     evhttp_connection_set_closecb(con, onIdleClosed, this);
     idle.push_back(con);
@@ -104,7 +105,7 @@
       return;
     const std::unique_ptr<ActiveCall> call = std::move(it->second);
     Active.erase(it);
-    keep(call->Call, call->Connection, reusable);
+    returnToPool(call->Call, call->Connection, reusable);
     if (call->Call.OnEnd)
       call->Call.OnEnd(answer);
   }
@@ -117,7 +118,7 @@
   /// evhttp calls this only if a connection was established; after a failed
   /// connect the request ends without it.
   static void onError(evhttp_request_error, void *arg) {
-    static_cast<ActiveCall *>(arg)->FailedUnderWay = true;
+    static_cast<ActiveCall *>(arg)->FailedWhenConnected = true;
   }
 
   static void onEnd(evhttp_request *req, void *arg) {
@@ -127,7 +128,7 @@
       return;
     const int status = req ? evhttp_request_get_response_code(req) : 0;
     if (status == 0) {
-      const bool unsent = req && !call->FailedUnderWay;
+      const bool unsent = req && !call->FailedWhenConnected;
       const HttpAnswer answer{.Ending = unsent ? HttpEnding::NotSent
                                                : HttpEnding::BrokeOff};
       return self.finish(call->Id, answer, false);
@@ -168,7 +169,7 @@
 HttpClient::HttpClient(EventLoop &loop) : State(new Impl{loop}) {}
 
 HttpClient::~HttpClient() {
-  State->reap();
+  State->freeClosed();
   for (const auto &[id, call] : State->Active)
     evhttp_connection_free(call->Connection);
   for (auto &[address, idle] : State->Idle)
@@ -211,7 +212,7 @@
   if (it == State->Active.end())
     return;
   evhttp_connection *con = it->second->Connection;
-  State->DeadCalls.push_back(std::move(it->second));
+  State->CancelledCalls.push_back(std::move(it->second));
   State->Active.erase(it);
   State->discard(con);
 }
--- a/packages/net/pimentofront/src/Net/HttpServer.cpp
+++ b/packages/net/pimentofront/src/Net/HttpServer.cpp
@@ -111,18 +111,18 @@
 };
 
 /// Keeps the exchange alive until libevhtp frees the request.
-struct Hold {
+struct ExchangeRef {
   std::shared_ptr<EvhtpExchange> Exchange;
   timeval CallerTimeout;
 };
 
 evhtp_res onRequestEnded(evhtp_request_t *req, void *arg) {
-  auto *hold = static_cast<Hold *>(arg);
+  auto *ref = static_cast<ExchangeRef *>(arg);
   // Restores the timeouts for the next request on a keep-alive connection.
   if (bufferevent *bev = evhtp_request_get_bev(req))
-    bufferevent_set_timeouts(bev, &hold->CallerTimeout, &hold->CallerTimeout);
-  hold->Exchange->requestEnded();
-  delete hold;
+    bufferevent_set_timeouts(bev, &ref->CallerTimeout, &ref->CallerTimeout);
+  ref->Exchange->requestEnded();
+  delete ref;
   return EVHTP_RES_OK;
 }
 
@@ -136,9 +136,9 @@
   static void onRequest(evhtp_request_t *req, void *arg) {
     auto *self = static_cast<Impl *>(arg);
     auto exchange = std::make_shared<EvhtpExchange>(req);
-    auto *hold = new Hold{exchange, self->CallerTimeout};
+    auto *ref = new ExchangeRef{exchange, self->CallerTimeout};
     evhtp_request_set_hook(req, evhtp_hook_on_request_fini,
-                           reinterpret_cast<evhtp_hook>(onRequestEnded), hold);
+                           reinterpret_cast<evhtp_hook>(onRequestEnded), ref);
     // The request is complete. Computing the response has no time limit; only a
     // caller that doesn't read the response is disconnected.
     bufferevent_set_timeouts(evhtp_request_get_bev(req), nullptr,
--- a/packages/net/pimentofront/src/Net/PeerNetwork.cpp
+++ b/packages/net/pimentofront/src/Net/PeerNetwork.cpp
@@ -32,7 +32,7 @@
     void onFrame(const std::string &bytes) override {
       Self.frameArrived(*this, bytes);
     }
-    void onClosed() override { Self.ended(Id); }
+    void onClosed() override { Self.onClosedLink(Id); }
 
     Impl &Self;
     LinkId Id;
@@ -40,7 +40,7 @@
     std::vector<std::string> Waiting;
     bool Accepted = false;
     LinkPurpose Purpose = LinkPurpose::General;
-    bool Greeted = false;
+    bool HelloReceived = false;
     bool Closed = false;
     std::unique_ptr<Timer> ConnectTimer;
   };
@@ -53,8 +53,8 @@
   std::unordered_map<LinkId, std::unique_ptr<Link>> Links;
   /// Links close inside their own callbacks, so they are freed in the next
   /// iteration of the event loop.
-  std::vector<std::unique_ptr<Link>> Dead;
-  std::unique_ptr<Timer> Reaper;
+  std::vector<std::unique_ptr<Link>> ClosedLinks;
+  std::unique_ptr<Timer> FreeTimer;
   HybridClock Clock;
   std::uint64_t Sent = 0;
   std::uint64_t Received = 0;
@@ -64,7 +64,7 @@
     auto link = std::make_unique<Link>(*this, id);
     Link &result = *link;
     result.ConnectTimer =
-        Loop.after(Options.ConnectTimeout, [this, id] { ended(id); });
+        Loop.after(Options.ConnectTimeout, [this, id] { onClosedLink(id); });
     Links.emplace(id, std::move(link));
     return result;
   }
@@ -72,7 +72,7 @@
   static void onAccept(evconnlistener *, evutil_socket_t fd, sockaddr *, int,
                        void *arg) {
     auto *self = static_cast<Impl *>(arg);
-    prepareSocket(fd);
+    setSocketOptions(fd);
     bufferevent *bev =
         bufferevent_socket_new(self->Loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
     Link &link = self->addLink();
@@ -87,12 +87,12 @@
     const LinkId id = link.Id;
     if (!parsed) {
       link.ConnectTimer =
-          Loop.after(Duration::zero(), [this, id] { ended(id); });
+          Loop.after(Duration::zero(), [this, id] { onClosedLink(id); });
       return id;
     }
     const evutil_socket_t fd =
         ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    prepareSocket(fd);
+    setSocketOptions(fd);
     bufferevent *bev =
         bufferevent_socket_new(Loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
     link.Socket = detail::openWebSocket(bev, address, link);
@@ -112,8 +112,8 @@
 
   /// Only Hello is sent before the peer's Hello has arrived. So a link that
   /// never opened has certainly carried no other message.
-  void greeted(Link &link, const Hello &hello) {
-    link.Greeted = true;
+  void onHello(Link &link, const Hello &hello) {
+    link.HelloReceived = true;
     link.ConnectTimer.reset();
     const std::vector<std::string> waiting = std::exchange(link.Waiting, {});
     for (const std::string &it : waiting)
@@ -129,7 +129,7 @@
     Sent += bytes.size();
     link.Socket->send(bytes);
     if (link.Socket->unsentBytes() > Options.MaxUnsentBytes)
-      endLater(link.Id);
+      closeLater(link.Id);
   }
 
   void frameArrived(Link &link, const std::string &bytes) {
@@ -138,47 +138,47 @@
     Received += bytes.size();
     const auto frame = decodeFrame(bytes);
     if (!frame)
-      return endLater(link.Id);
+      return closeLater(link.Id);
     Clock.observe(frame->SentAt, Loop.wallMilliseconds());
-    if (link.Greeted)
+    if (link.HelloReceived)
       return Handler.onMessage(link.Id, frame->Content);
     const auto *hello = std::get_if<Hello>(&frame->Content);
     if (!hello || hello->Protocol > ProtocolVersion)
-      return endLater(link.Id);
-    greeted(link, *hello);
+      return closeLater(link.Id);
+    onHello(link, *hello);
   }
 
   /// Closes a link from inside a callback of its socket.
-  void endLater(LinkId id) {
+  void closeLater(LinkId id) {
     const auto it = Links.find(id);
     if (it == Links.end() || it->second->Closed)
       return;
     it->second->Closed = true;
     it->second->ConnectTimer =
-        Loop.after(Duration::zero(), [this, id] { ended(id); });
+        Loop.after(Duration::zero(), [this, id] { onClosedLink(id); });
   }
 
-  void ended(LinkId id) {
-    if (bury(id))
+  void onClosedLink(LinkId id) {
+    if (removeLink(id))
       Handler.onLinkClosed(id);
   }
 
-  bool bury(LinkId id) {
+  bool removeLink(LinkId id) {
     const auto it = Links.find(id);
     if (it == Links.end())
       return false;
     it->second->Closed = true;
-    Dead.push_back(std::move(it->second));
+    ClosedLinks.push_back(std::move(it->second));
     Links.erase(it);
-    if (!Reaper)
-      Reaper = Loop.after(Duration::zero(), [this] { reap(); });
+    if (!FreeTimer)
+      FreeTimer = Loop.after(Duration::zero(), [this] { freeClosed(); });
     return true;
   }
 
-  void reap() {
-    const auto dead = std::move(Dead);
-    Dead.clear();
-    Reaper.reset();
+  void freeClosed() {
+    const auto dead = std::move(ClosedLinks);
+    ClosedLinks.clear();
+    FreeTimer.reset();
   }
 };
 
@@ -207,18 +207,18 @@
   if (it == State->Links.end() || it->second->Closed)
     return;
   const std::string bytes = State->encode(message);
-  if (it->second->Greeted)
+  if (it->second->HelloReceived)
     return State->transmit(*it->second, bytes);
   it->second->Waiting.push_back(bytes);
 }
 
-void PeerNetwork::close(LinkId link) { State->bury(link); }
+void PeerNetwork::close(LinkId link) { State->removeLink(link); }
 void PeerNetwork::closeAll() {
   std::vector<LinkId> all;
   for (const auto &[id, it] : State->Links)
     all.push_back(id);
   for (const LinkId it : all)
-    State->ended(it);
+    State->onClosedLink(it);
 }
 
 void PeerNetwork::setReplica(std::uint64_t identity) {
--- a/packages/net/pimentofront/src/Net/Socket.cpp
+++ b/packages/net/pimentofront/src/Net/Socket.cpp
@@ -13,7 +13,7 @@
   return result;
 }
 
-void prepareSocket(int fd) {
+void setSocketOptions(int fd) {
   const int on = 1;
   // A silent network failure is detected within three seconds: callers wait
   // some seconds for a response, and TCP retransmits a lost packet several
--- a/packages/net/pimentofront/src/Net/Socket.h
+++ b/packages/net/pimentofront/src/Net/Socket.h
@@ -15,7 +15,7 @@
 /// Makes a TCP socket send without delay, and fail soon if its peer
 /// acknowledges nothing: by default TCP detects that only after a quarter of an
 /// hour.
-void prepareSocket(int fd);
+void setSocketOptions(int fd);
 
 } // namespace pimentofront
 
--- a/packages/net/pimentofront/src/Net/detail/WebSocketPeer.cpp
+++ b/packages/net/pimentofront/src/Net/detail/WebSocketPeer.cpp
@@ -34,11 +34,11 @@
   return *endpoint;
 }
 
-template <class Endpoint> class PeerOver : public WebSocketPeer {
+template <class Endpoint> class EndpointPeer : public WebSocketPeer {
 public:
   using Connection = typename Endpoint::connection_ptr;
 
-  PeerOver(bufferevent *bev, Connection con, WebSocketHandler &handler)
+  EndpointPeer(bufferevent *bev, Connection con, WebSocketHandler &handler)
       : Bev(bev), Con(std::move(con)), Handler(handler) {
     Con->set_write_handler(
         [this](websocketpp::connection_hdl, const char *data, std::size_t n) {
@@ -61,7 +61,7 @@
     bufferevent_enable(Bev, EV_READ | EV_WRITE);
   }
 
-  ~PeerOver() override {
+  ~EndpointPeer() override {
     Ended = true;
     closeSocket();
     Con->set_open_handler(nullptr);
@@ -82,7 +82,7 @@
 
 private:
   static void onReadable(bufferevent *bev, void *arg) {
-    auto *self = static_cast<PeerOver *>(arg);
+    auto *self = static_cast<EndpointPeer *>(arg);
     evbuffer *input = bufferevent_get_input(bev);
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, &bytes[0], bytes.size());
@@ -90,7 +90,7 @@
   }
 
   static void onEvent(bufferevent *, short what, void *arg) {
-    auto *self = static_cast<PeerOver *>(arg);
+    auto *self = static_cast<EndpointPeer *>(arg);
     if (what & BEV_EVENT_CONNECTED) {
       self->connected();
       return;
@@ -136,7 +136,7 @@
                                                WebSocketHandler &handler) {
   using Server = websocketpp::server<ServerConfig>;
   auto con = sharedEndpoint<Server>().get_connection();
-  auto peer = std::make_unique<PeerOver<Server>>(bev, con, handler);
+  auto peer = std::make_unique<EndpointPeer<Server>>(bev, con, handler);
   con->start();
   return peer;
 }
@@ -150,7 +150,7 @@
       sharedEndpoint<Client>().get_connection("ws://" + address + "/", ec);
   if (ec)
     return nullptr;
-  return std::make_unique<PeerOver<Client>>(bev, con, handler);
+  return std::make_unique<EndpointPeer<Client>>(bev, con, handler);
 }
 
 } // namespace detail
--- a/test/EngineOrdersTest.cpp
+++ b/test/EngineOrdersTest.cpp
@@ -45,7 +45,7 @@
 
   /// Simulates a crash and a restart without models and adapters.
   void restart() {
-    if (TellsStart)
+    if (ReportsStart)
       ++StartedAt;
     else
       Instance += "'";
@@ -55,7 +55,7 @@
   }
   bool hasLate() const { return !Late.empty(); }
   /// Carries out those late orders that match, and keeps the others.
-  void carryOutLateIfItFits() {
+  void carryOutMatching() {
     std::erase_if(Late,
                   [this](const Order &it) { return carryOut(it) == 202; });
   }
@@ -66,11 +66,11 @@
 
   std::string Instance = "i";
   /// Reports its start time; its name then stays the same after a restart.
-  bool TellsStart = false;
+  bool ReportsStart = false;
   std::uint64_t StartedAt = 1700000000000;
   /// Loads of this adapter are not answered and are carried out late.
   std::string Unanswered = "none";
-  bool Overfull = false;
+  bool ExceededSlots = false;
   std::uint64_t Accepted = 0;
   /// It has its base model initially, without an order.
   bool HasModel = true;
@@ -97,7 +97,7 @@
       Adapters.erase(adapter);
     else
       Adapters.insert(adapter);
-    Overfull = Overfull || Adapters.size() > Slots;
+    ExceededSlots = ExceededSlots || Adapters.size() > Slots;
     return 202;
   }
 
@@ -110,7 +110,7 @@
       models.push_back({{"name", Model}, {"version", 1}, {"adapters", names}});
     nlohmann::json report{
         {"models", models}, {"busy", false}, {"seq", Accepted}};
-    if (TellsStart)
+    if (ReportsStart)
       report["born"] = StartedAt;
     return report.dump();
   }
@@ -119,7 +119,7 @@
   std::vector<Order> Late;
 };
 
-class NoNetwork : public Transport {
+class FakeTransport : public Transport {
 public:
   LinkId open(const std::string &, LinkPurpose) override { return Leader; }
   void send(LinkId, const Message &message) override {
@@ -157,12 +157,12 @@
              Eviction, Gate, Orders, Network) {
     Orders.setNode(Node);
     const Hello hello{.Protocol = ProtocolVersion};
-    Node.onLinkOpen(Loop.now(), NoNetwork::Leader, hello);
-    Node.onLinkOpen(Loop.now(), NoNetwork::Entry, hello);
+    Node.onLinkOpen(Loop.now(), FakeTransport::Leader, hello);
+    Node.onLinkOpen(Loop.now(), FakeTransport::Entry, hello);
     Node.onMessage(
-        Loop.now(), NoNetwork::Leader,
+        Loop.now(), FakeTransport::Leader,
         LeaseReply{.Known = true, .Lease = 1min, .Members = 1, .Fence = 1});
-    Node.onMessage(Loop.now(), NoNetwork::Entry,
+    Node.onMessage(Loop.now(), FakeTransport::Entry,
                    EngineProfile{.At = 1,
                                  .BaseModel = Model,
                                  .AdapterSlots = Slots,
@@ -181,7 +181,7 @@
   void ask(const char *adapter, const std::string &instance) {
     const AttemptId attempt{7, ++Asked};
     Node.onMessage(
-        Loop.now(), NoNetwork::Entry,
+        Loop.now(), FakeTransport::Entry,
         ExecuteRequest{
             .Attempt = attempt,
             .Request = RequestId(std::to_string(Asked)),
@@ -191,7 +191,7 @@
             .BaseModel = "engines",
             .Delegated = true,
             .Server = HostName(instance),
-            .ServerStartedAt = Engine.TellsStart ? Engine.StartedAt : 0});
+            .ServerStartedAt = Engine.ReportsStart ? Engine.StartedAt : 0});
   }
   /// Requests a slot, waits until the attempt runs and releases it.
   void serve(const char *adapter) {
@@ -199,7 +199,7 @@
     const AttemptId attempt{7, Asked};
     turnUntil(
         [&] { return Node.controller().board().Running.contains(attempt); });
-    Node.onMessage(Loop.now(), NoNetwork::Entry,
+    Node.onMessage(Loop.now(), FakeTransport::Entry,
                    AttemptReleased{.Attempt = attempt});
   }
   bool ready() { return Node.controller().board().EngineReady; }
@@ -215,7 +215,7 @@
   HttpClient Client;
   LeastPopular Eviction;
   UncoordinatedLoads Gate;
-  NoNetwork Network;
+  FakeTransport Network;
   platform::EngineOrders Orders;
   AgentNode Node;
   std::uint64_t Asked = 0;
@@ -240,7 +240,7 @@
   it.serve("e");
   REQUIRE(it.Engine.Adapters.size() == Slots);
   it.Engine.carryOutLate();
-  CHECK_FALSE(it.Engine.Overfull);
+  CHECK_FALSE(it.Engine.ExceededSlots);
 }
 
 TEST_CASE("an order for an engine's previous process loses no request") {
@@ -270,7 +270,7 @@
 
 TEST_CASE("an engine that restarts under the same name serves at once") {
   AgentUnderTest it;
-  it.Engine.TellsStart = true;
+  it.Engine.ReportsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.serve("b");
@@ -286,7 +286,7 @@
 
 TEST_CASE("a request for an engine's process before its restart is refused") {
   AgentUnderTest it;
-  it.Engine.TellsStart = true;
+  it.Engine.ReportsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.Engine.restart();
@@ -302,7 +302,7 @@
 // order count again. Only a slot that is kept free prevents an overfull engine.
 TEST_CASE("a slot stays free for an old order after a restart under one name") {
   AgentUnderTest it;
-  it.Engine.TellsStart = true;
+  it.Engine.ReportsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.serve("b");
@@ -318,7 +318,7 @@
       event_base_loop(it.Loop.base(), EVLOOP_ONCE);
       it.Node.tick(it.Loop.now());
     }
-    it.Engine.carryOutLateIfItFits();
-    CHECK_FALSE(it.Engine.Overfull);
+    it.Engine.carryOutMatching();
+    CHECK_FALSE(it.Engine.ExceededSlots);
   }
 }
--- a/test/HttpTest.cpp
+++ b/test/HttpTest.cpp
@@ -25,9 +25,9 @@
   int Ended = 0;
 };
 
-struct Reading {
-  explicit Reading(HttpSide side, const HttpLimits &limits = {})
-      : Parser(side, limits, Seen) {}
+struct ParserUnderTest {
+  explicit ParserUnderTest(HttpSide side, const HttpLimits &limits = {})
+      : Parser(side, limits, Collected) {}
   /// Feeds all bytes, \p step at a time. \returns whether there is no fault.
   bool feed(std::string_view bytes, std::size_t step = 100000) {
     while (!bytes.empty() && Parser.fault() == HttpFault::None) {
@@ -39,12 +39,12 @@
     }
     return Parser.fault() == HttpFault::None;
   }
-  Collector Seen;
+  Collector Collected;
   HttpParser Parser;
 };
 
 HttpFault faultOf(std::string_view bytes, HttpLimits limits = {}) {
-  Reading reading(HttpSide::Requests, limits);
+  ParserUnderTest reading(HttpSide::Requests, limits);
   reading.feed(bytes);
   return reading.Parser.fault();
 }
@@ -56,24 +56,24 @@
                             "Transfer-Encoding: chunked\r\nX-Y: z\r\n\r\n"
                             "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n";
   for (const std::size_t step : {1U, 2U, 7U, 1000U}) {
-    Reading reading(HttpSide::Requests);
+    ParserUnderTest reading(HttpSide::Requests);
     REQUIRE(reading.feed(bytes, step));
-    REQUIRE(reading.Seen.Ended == 1);
-    CHECK(reading.Seen.Body == "abcde");
-    CHECK(reading.Seen.Requests.at(0).Method == "POST");
-    CHECK(reading.Seen.Requests.at(0).Target == "/a/b?c=d");
-    CHECK(*findHeader(reading.Seen.Requests.at(0).Headers, "x-y") == "z");
+    REQUIRE(reading.Collected.Ended == 1);
+    CHECK(reading.Collected.Body == "abcde");
+    CHECK(reading.Collected.Requests.at(0).Method == "POST");
+    CHECK(reading.Collected.Requests.at(0).Target == "/a/b?c=d");
+    CHECK(*findHeader(reading.Collected.Requests.at(0).Headers, "x-y") == "z");
   }
 }
 
 TEST_CASE("the parser stops after each of several pipelined messages") {
-  Reading reading(HttpSide::Requests);
+  ParserUnderTest reading(HttpSide::Requests);
   const std::string two = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
   const std::size_t used = reading.Parser.feed(two);
   CHECK(used == two.size() / 2);
-  CHECK(reading.Seen.Requests.size() == 1);
+  CHECK(reading.Collected.Requests.size() == 1);
   reading.feed(two.substr(used));
-  CHECK(reading.Seen.Requests.size() == 2);
+  CHECK(reading.Collected.Requests.size() == 2);
 }
 
 TEST_CASE("an ambiguous request is rejected") {
@@ -125,21 +125,21 @@
   };
   for (const char *it : cut) {
     INFO(it);
-    Reading reading(HttpSide::Answers);
+    ParserUnderTest reading(HttpSide::Answers);
     reading.feed(it);
     reading.Parser.finish();
-    CHECK(reading.Seen.Ended == 0);
+    CHECK(reading.Collected.Ended == 0);
     CHECK(reading.Parser.fault() == HttpFault::Malformed);
   }
 }
 
 TEST_CASE("a response without a length is complete when its connection ends") {
-  Reading reading(HttpSide::Answers);
+  ParserUnderTest reading(HttpSide::Answers);
   reading.feed("HTTP/1.1 200 OK\r\n\r\nabc");
-  CHECK(reading.Seen.Ended == 0);
+  CHECK(reading.Collected.Ended == 0);
   reading.Parser.finish();
-  CHECK(reading.Seen.Ended == 1);
-  CHECK(reading.Seen.Body == "abc");
+  CHECK(reading.Collected.Ended == 1);
+  CHECK(reading.Collected.Body == "abc");
   CHECK_FALSE(reading.Parser.keepsConnection());
 }
 
@@ -149,19 +149,19 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"
         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "\x01\x02\x03garbage\r\n\r\n"}) {
-    Reading reading(HttpSide::Answers);
+    ParserUnderTest reading(HttpSide::Answers);
     CHECK_FALSE(reading.feed(it));
   }
 }
 
 TEST_CASE("an interim response is skipped, and HEAD has no body") {
-  Reading reading(HttpSide::Answers);
-  reading.Parser.expectAnswerTo("HEAD");
+  ParserUnderTest reading(HttpSide::Answers);
+  reading.Parser.expectResponseTo("HEAD");
   REQUIRE(reading.feed("HTTP/1.1 100 Continue\r\n\r\n"
                        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"));
-  REQUIRE(reading.Seen.Ended == 1);
-  CHECK(reading.Seen.Answers.at(0).Status == 200);
-  CHECK(reading.Seen.Body.empty());
+  REQUIRE(reading.Collected.Ended == 1);
+  CHECK(reading.Collected.Answers.at(0).Status == 200);
+  CHECK(reading.Collected.Body.empty());
 }
 
 TEST_CASE("mutated requests don't crash the parser or yield surplus data") {
@@ -175,26 +175,26 @@
     std::string bytes = sound[random.next() % 2];
     for (std::uint64_t n = random.next() % 4; n > 0; --n)
       bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
-    Reading reading(HttpSide::Requests);
+    ParserUnderTest reading(HttpSide::Requests);
     reading.feed(bytes, 1 + random.next() % bytes.size());
-    CHECK(reading.Seen.Ended <= 2);
-    CHECK(reading.Seen.Body.size() <= bytes.size());
+    CHECK(reading.Collected.Ended <= 2);
+    CHECK(reading.Collected.Body.size() <= bytes.size());
   }
 }
 
 TEST_CASE("written messages are parsed back unchanged") {
   const RequestHead head{"POST", "/x", {{"Host", "h"}, {"A", "b"}}};
-  Reading requests(HttpSide::Requests);
+  ParserUnderTest requests(HttpSide::Requests);
   REQUIRE(requests.feed(writeRequestHead(head, 3) + "abc"));
-  REQUIRE(requests.Seen.Ended == 1);
-  CHECK(requests.Seen.Requests.at(0).Target == "/x");
-  CHECK(requests.Seen.Body == "abc");
+  REQUIRE(requests.Collected.Ended == 1);
+  CHECK(requests.Collected.Requests.at(0).Target == "/x");
+  CHECK(requests.Collected.Body == "abc");
   const ResponseHead answer{200, {{"A", "b"}}};
-  Reading answers(HttpSide::Answers);
+  ParserUnderTest answers(HttpSide::Answers);
   REQUIRE(answers.feed(
       writeResponseHead(answer, HttpFraming::Chunked, 0, true) +
       writeChunkHead(20) + std::string(20, 'x') + "\r\n0\r\n\r\n"));
-  CHECK(answers.Seen.Body == std::string(20, 'x'));
+  CHECK(answers.Collected.Body == std::string(20, 'x'));
   CHECK(writeResponseHead(answer, HttpFraming::Length, 3, false)
             .find("Connection: close") != std::string::npos);
 }
--- a/test/PlatformTest.cpp
+++ b/test/PlatformTest.cpp
@@ -210,8 +210,8 @@
           "adapters":["a1@1","a7@12"]}],"busy":true,"seq":2,
           "pending":["m/a9@1"],"queued":1})");
   REQUIRE(it);
-  CHECK(it->holdsModel("m"));
-  CHECK_FALSE(it->holdsModel("n"));
+  CHECK(it->hasModel("m"));
+  CHECK_FALSE(it->hasModel("n"));
   CHECK(it->versionOf(AdapterName("m/a7")) == 12U);
   CHECK_FALSE(it->versionOf(AdapterName("m/a9")));
   CHECK(it->isPending(AdapterName("m/a9")));
@@ -263,9 +263,9 @@
   CHECK(it.Member.Leaving);
   CHECK(it.Member.Slots == 64);
   CHECK(it.Sequence == 4);
-  CHECK(platform::startOfGoodbye("") == 0);
-  CHECK(platform::startOfGoodbye(R"({"born":7})") == 7);
-  CHECK(platform::startOfGoodbye(R"({"born":"x"})") == 0);
+  CHECK(platform::leavingProcessStart("") == 0);
+  CHECK(platform::leavingProcessStart(R"({"born":7})") == 7);
+  CHECK(platform::leavingProcessStart(R"({"born":"x"})") == 0);
 }
 
 TEST_CASE("a registration in another format is rejected") {
