--- a/packages/api/pimentofront/src/Api/Connect.cpp
+++ b/packages/api/pimentofront/src/Api/Connect.cpp
@@ -81,7 +81,7 @@
     outcome.set_not_run(error.NotRun);
     outcome.set_reason(error.Reason);
     outcome.set_come_back_ms(
-        static_cast<std::uint64_t>(milliseconds(error.ComeBack)));
+        static_cast<std::uint64_t>(milliseconds(error.RetryAfter)));
     std::string debug;
     (void)google::protobuf::util::MessageToJsonString(outcome, &debug);
     json += ",\"details\":[{\"type\":\"pimentofront.v1.Outcome\",\"value\":\"" +
@@ -103,10 +103,10 @@
 }
 
 std::string retryAfter(const ConnectError &error) {
-  if (error.ComeBack <= Duration::zero())
+  if (error.RetryAfter <= Duration::zero())
     return "";
   return std::to_string(
-      std::chrono::ceil<std::chrono::seconds>(error.ComeBack).count());
+      std::chrono::ceil<std::chrono::seconds>(error.RetryAfter).count());
 }
 
 tl::expected<void, std::string>
--- a/packages/api/pimentofront/src/Api/Connect.h
+++ b/packages/api/pimentofront/src/Api/Connect.h
@@ -35,7 +35,7 @@
   /// sent as an `Outcome` message if `Reason` isn't empty.
   bool NotRun = false;
   std::string Reason;
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
 };
 
 /// Encoding of a body.
--- a/packages/http/pimentofront/src/Http/CallerChannel.cpp
+++ b/packages/http/pimentofront/src/Http/CallerChannel.cpp
@@ -228,7 +228,7 @@
   const CallerKey key = std::exchange(Key, 0);
   if (key != 0) {
     Owner.dropKey(key);
-    Owner.Handler.onCallerGone(key);
+    Owner.Handler.onCallerDisconnected(key);
   }
   Owner.removeChannel(Id);
 }
--- a/packages/http/pimentofront/src/Http/CallerListener.h
+++ b/packages/http/pimentofront/src/Http/CallerListener.h
@@ -24,7 +24,7 @@
   virtual void onRequest(CallerKey key, RequestHead head, std::string body,
                          const ContentHash &bodyHash) = 0;
   /// The caller disconnected before its response was complete.
-  virtual void onCallerGone(CallerKey key) = 0;
+  virtual void onCallerDisconnected(CallerKey key) = 0;
 };
 
 /// \class CallerListenerOptions
--- a/packages/http/pimentofront/src/Http/ConnectProbe.cpp
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.cpp
@@ -12,10 +12,11 @@
 /// It is short since a caller waits for the result.
 constexpr Duration Timeout = std::chrono::milliseconds(150);
 
-ServerLife resultForError(int error) {
+ServerCheckResult resultForError(int error) {
   if (error == 0)
-    return ServerLife::Lives;
-  return error == ECONNREFUSED ? ServerLife::Ended : ServerLife::Unknown;
+    return ServerCheckResult::StillRunning;
+  return error == ECONNREFUSED ? ServerCheckResult::Exited
+                               : ServerCheckResult::Unknown;
 }
 
 } // namespace
@@ -66,16 +67,17 @@
   // has cleared the socket's error, so the socket would look connected.
   if (result != 0 && errno == ECONNREFUSED) {
     slot->End = Loop.after(Duration::zero(),
-                           [this, id] { end(id, ServerLife::Ended); });
+                           [this, id] { end(id, ServerCheckResult::Exited); });
     return;
   }
   slot->Ready = event_new(Loop.base(), slot->Socket, EV_WRITE, Attempt::onReady,
                           slot.get());
   event_add(slot->Ready, nullptr);
-  slot->End = Loop.after(Timeout, [this, id] { end(id, ServerLife::Unknown); });
+  slot->End =
+      Loop.after(Timeout, [this, id] { end(id, ServerCheckResult::Unknown); });
 }
 
-void ConnectProbe::end(std::uint64_t id, ServerLife life) {
+void ConnectProbe::end(std::uint64_t id, ServerCheckResult life) {
   const auto found = Attempts.extract(id);
   if (found)
     found.mapped()->Done(life);
--- a/packages/http/pimentofront/src/Http/ConnectProbe.h
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.h
@@ -17,7 +17,7 @@
 /// exited.
 class ConnectProbe {
 public:
-  using Callback = std::function<void(ServerLife)>;
+  using Callback = std::function<void(ServerCheckResult)>;
 
   explicit ConnectProbe(EventLoop &loop);
   ~ConnectProbe();
@@ -30,7 +30,7 @@
 
 private:
   struct Attempt;
-  void end(std::uint64_t id, ServerLife life);
+  void end(std::uint64_t id, ServerCheckResult life);
 
   EventLoop &Loop;
   std::uint64_t LastId = 0;
--- a/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
@@ -88,7 +88,7 @@
   if (Ignored)
     return false;
   BelongsToAttempt =
-      Owner.Handler.onHead(*Attempt, std::move(head)) == HeadVerdict::Take;
+      Owner.Handler.onHead(*Attempt, std::move(head)) == HeadDecision::Take;
   return BelongsToAttempt;
 }
 
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -50,7 +50,7 @@
 }
 
 void UpstreamPool::setProcess(Peer &peer, const ServerProcess &process) {
-  const bool same = maybeSame(peer.Server, process);
+  const bool same = mayBeSameProcess(peer.Server, process);
   peer.Server = process;
   // end() removes the channel from the list.
   while (!same && !peer.Idle.empty())
@@ -93,7 +93,7 @@
 
 void UpstreamPool::returnToPool(detail::UpstreamChannel &channel) {
   Peer &peer = Peers.at(channel.address());
-  if (!maybeSame(channel.server(), peer.Server))
+  if (!mayBeSameProcess(channel.server(), peer.Server))
     return channel.end();
   peer.Idle.push_back(channel.id());
   // The limits may have been lowered meanwhile.
--- a/packages/http/pimentofront/src/Http/UpstreamPool.h
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.h
@@ -14,7 +14,7 @@
 class UpstreamHandler {
 public:
   virtual ~UpstreamHandler() = default;
-  virtual HeadVerdict onHead(const AttemptId &attempt, ResponseHead head) = 0;
+  virtual HeadDecision onHead(const AttemptId &attempt, ResponseHead head) = 0;
   virtual void onBody(const AttemptId &attempt, std::string_view bytes) = 0;
   virtual void onEnd(const AttemptId &attempt, UpstreamEnding ending) = 0;
 };
@@ -77,7 +77,7 @@
   /// Connections to one address.
   struct Peer {
     std::uint32_t Open = 0;
-    ConnectionPart Part;
+    ConnectionLimits Part;
     /// The process at the address, as the last request named it.
     ServerProcess Server;
     /// Idle connections, the most recently used one last.
--- a/test/CallerListenerTest.cpp
+++ b/test/CallerListenerTest.cpp
@@ -15,7 +15,7 @@
                  const ContentHash &) override {
     Keys.push_back(key);
   }
-  void onCallerGone(CallerKey) override {}
+  void onCallerDisconnected(CallerKey) override {}
   std::vector<CallerKey> Keys;
 };
 
--- a/test/EngineOrdersTest.cpp
+++ b/test/EngineOrdersTest.cpp
@@ -41,7 +41,7 @@
     }
     Listener.reply(key, {.Status = carryOut(order), .Headers = {}}, "{}");
   }
-  void onCallerGone(CallerKey) override {}
+  void onCallerDisconnected(CallerKey) override {}
 
   /// Simulates a crash and a restart without models and adapters.
   void restart() {
@@ -150,7 +150,7 @@
                         .Incarnation = 1,
                         .BaseModel = "engines",
                         .Slots = 1,
-                        .CompanyShare = 0,
+                        .BatchingShare = 0,
                         .EngineSettleTime = Duration::zero()},
               .Address = "1.0.0.1:9",
               .Replicas = {"1.0.0.2:9"}},
--- a/test/PlatformTest.cpp
+++ b/test/PlatformTest.cpp
@@ -85,8 +85,8 @@
       faultsOf(replaced(replaced(text, "\"attempts\": 2", "\"attempts\": -1"),
                         "non_idempotent", "whatever"));
   REQUIRE(two.items().size() == 2);
-  CHECK(two.items()[0].Place == "/routes/0/attempts");
-  CHECK(two.items()[1].Place == "/routes/1/routeType");
+  CHECK(two.items()[0].Location == "/routes/0/attempts");
+  CHECK(two.items()[1].Location == "/routes/1/routeType");
 }
 
 TEST_CASE("a request's headers are decoded") {
@@ -100,7 +100,7 @@
         {"Pimentofront-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410"},
         {"Pimentofront-Deadline-Ms", "6000"}}});
   CHECK(it.Id == "9c41");
-  CHECK(it.LastEvent == 12U);
+  CHECK(it.LastEventId == 12U);
   CHECK(it.BaseModel == "m");
   CHECK(it.Adapter == "a3");
   CHECK(it.PromptTokens == 1460);
@@ -143,7 +143,7 @@
                              .Server = HostName("i-1"),
                              .Version = 4,
                              .Priority = 12,
-                             .LastEvent = 3});
+                             .LastEventId = 3});
   CHECK(sent.Target == "/a/x?y");
   CHECK(sent.Headers == HttpHeaders{{"Host", "h"},
                                     {"Pimentofront-Attempt-Id", "1"},
@@ -179,23 +179,23 @@
       {"a limit of 0", {200, {{"server-limit", "0"}}}, {.LimitPerSecond = 0}},
       {"a negative limit",
        {200, {{"Server-Limit", "-1"}}},
-       {.Unreadable = "Server-Limit"}},
+       {.MalformedHeader = "Server-Limit"}},
       {"two limits",
        {200, {{"Server-Limit", "1"}, {"Server-Limit", "9"}}},
-       {.Unreadable = "Server-Limit"}},
+       {.MalformedHeader = "Server-Limit"}},
       {"leaving", {200, {{"Server-Leaving", "1"}}}, {.Leaving = true}},
       {"not leaving", {200, {{"Server-Leaving", "0"}}}, {}},
-      {"backoff", {503, {{"Retry-After", "3"}}}, {.Rest = 3s}},
+      {"backoff", {503, {{"Retry-After", "3"}}}, {.Backoff = 3s}},
       {"a fraction of a second",
        {503, {{"Retry-After", "0.25"}}},
-       {.Rest = 250ms}},
-      {"a backoff of 0", {503, {{"Retry-After", "0"}}}, {.Rest = 0s}},
+       {.Backoff = 250ms}},
+      {"a backoff of 0", {503, {{"Retry-After", "0"}}}, {.Backoff = 0s}},
       {"a year, bounded to an hour",
        {503, {{"Retry-After", "31536000"}}},
-       {.Rest = 1h}},
+       {.Backoff = 1h}},
       {"a date",
        {503, {{"Retry-After", "Fri, 31 Dec 1999 23:59:59 GMT"}}},
-       {.Unreadable = "Retry-After"}},
+       {.MalformedHeader = "Retry-After"}},
       {"another status", {500, {{"Retry-After", "3"}}}, {}},
   };
   for (const Case &it : cases) {
