--- a/packages/http/pimentofront/src/Http/CallerListener.cpp
+++ b/packages/http/pimentofront/src/Http/CallerListener.cpp
@@ -9,7 +9,7 @@
 namespace pimentofront {
 namespace {
 
-/// Time limits are looked at this often; they are of seconds.
+/// Interval between checks of the time limits, which are seconds long.
 constexpr Duration SweepPeriod = std::chrono::milliseconds(250);
 
 } // namespace
@@ -28,7 +28,7 @@
     throw std::runtime_error("can't listen for callers on " +
                              options.Address.Ip + ":" +
                              std::to_string(options.Address.Port));
-  Sweeper = loop.every(SweepPeriod, [this] { sweep(); });
+  SweepTimer = loop.every(SweepPeriod, [this] { sweep(); });
 }
 
 CallerListener::~CallerListener() {
@@ -39,7 +39,7 @@
 void CallerListener::onAccept(evconnlistener *, int fd, sockaddr *, int,
                               void *arg) {
   auto *self = static_cast<CallerListener *>(arg);
-  prepareSocket(fd);
+  setSocketOptions(fd);
   bufferevent *bev =
       bufferevent_socket_new(self->Loop.base(), fd, BEV_OPT_CLOSE_ON_FREE);
   const ChannelId id = ++self->LastChannel;
@@ -100,25 +100,27 @@
   for (const auto &[id, it] : Channels)
     if (it->isIdle())
       idle.push_back(it.get());
-  // They stay until the next turn of the loop, and what comes until then isn't
-  // read any more: its caller sees the end without an answer, and nothing ran.
+  // Closed channels are freed in the next iteration of the event loop, so the
+  // pointers stay valid. A request that arrives until then isn't read: its
+  // caller sees the connection close without a response, and the request has
+  // not run.
   for (detail::CallerChannel *it : idle)
     it->closeWhenWritten();
 }
 
-void CallerListener::bury(ChannelId id) {
+void CallerListener::removeChannel(ChannelId id) {
   const auto it = Channels.find(id);
   if (it == Channels.end())
     return;
-  Dead.push_back(std::move(it->second));
+  ClosedChannels.push_back(std::move(it->second));
   Channels.erase(it);
-  if (!Reaper)
-    Reaper = Loop.after(Duration::zero(), [this] { reap(); });
+  if (!FreeTimer)
+    FreeTimer = Loop.after(Duration::zero(), [this] { freeClosed(); });
 }
 
-void CallerListener::reap() {
-  const auto dead = std::exchange(Dead, {});
-  Reaper.reset();
+void CallerListener::freeClosed() {
+  const auto dead = std::exchange(ClosedChannels, {});
+  FreeTimer.reset();
 }
 
 void CallerListener::sweep() {
@@ -127,7 +129,8 @@
   all.reserve(Channels.size());
   for (const auto &[id, it] : Channels)
     all.push_back(it.get());
-  // A channel that ends stays until the next turn of the loop.
+  // A channel that checkTime() closes is freed in the next iteration of the
+  // event loop, so the pointers stay valid.
   for (detail::CallerChannel *it : all)
     it->checkTime(now);
 }
--- a/packages/http/pimentofront/src/Http/ConnectProbe.cpp
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.cpp
@@ -8,11 +8,11 @@
 namespace pimentofront {
 namespace {
 
-/// Round trips between zones, and a wait for a turn of a busy server's
-/// processor; a caller waits meanwhile.
+/// Covers round trips between zones and the scheduling delay on a busy server.
+/// It is short since a caller waits for the result.
 constexpr Duration Timeout = std::chrono::milliseconds(150);
 
-ServerCheckResult lifeBy(int error) {
+ServerCheckResult resultForError(int error) {
   if (error == 0)
     return ServerCheckResult::StillRunning;
   return error == ECONNREFUSED ? ServerCheckResult::Exited
@@ -21,27 +21,28 @@
 
 } // namespace
 
-struct ConnectProbe::Try {
+struct ConnectProbe::Attempt {
   ConnectProbe *Owner = nullptr;
   std::uint64_t Id = 0;
   evutil_socket_t Socket = -1;
   event *Ready = nullptr;
-  /// Ends the try without the socket's word.
+  /// Ends the attempt without a socket event: after the timeout, or at once if
+  /// connect() has returned a refusal.
   std::unique_ptr<Timer> End;
   Callback Done;
 
-  ~Try() {
+  ~Attempt() {
     if (Ready)
       event_free(Ready);
     if (Socket >= 0)
       evutil_closesocket(Socket);
   }
   static void onReady(evutil_socket_t fd, short, void *arg) {
-    auto *self = static_cast<Try *>(arg);
+    auto *self = static_cast<Attempt *>(arg);
     int error = 0;
     socklen_t n = sizeof(error);
     getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &n);
-    self->Owner->end(self->Id, lifeBy(error));
+    self->Owner->end(self->Id, resultForError(error));
   }
 };
 
@@ -50,8 +51,8 @@
 
 void ConnectProbe::start(const std::string &address, Callback done) {
   const std::uint64_t id = ++LastId;
-  auto &slot = Tries[id];
-  slot = std::make_unique<Try>();
+  auto &slot = Attempts[id];
+  slot = std::make_unique<Attempt>();
   slot->Owner = this;
   slot->Id = id;
   slot->Done = std::move(done);
@@ -61,22 +62,23 @@
   const sockaddr_in to = toSocketAddress(parsed.value_or(HostPort{}));
   const int result = ::connect(
       slot->Socket, reinterpret_cast<const sockaddr *>(&to), sizeof(to));
-  // A refusal that comes at once, from this host, is told a turn later, too. It
-  // takes the error from the socket, which would then look connected.
+  // connect() to this host can return a refusal at once. It is reported from
+  // the event loop like any other result, but not by a socket event: connect()
+  // has cleared the socket's error, so the socket would look connected.
   if (result != 0 && errno == ECONNREFUSED) {
     slot->End = Loop.after(Duration::zero(),
                            [this, id] { end(id, ServerCheckResult::Exited); });
     return;
   }
-  slot->Ready =
-      event_new(Loop.base(), slot->Socket, EV_WRITE, Try::onReady, slot.get());
+  slot->Ready = event_new(Loop.base(), slot->Socket, EV_WRITE, Attempt::onReady,
+                          slot.get());
   event_add(slot->Ready, nullptr);
   slot->End =
       Loop.after(Timeout, [this, id] { end(id, ServerCheckResult::Unknown); });
 }
 
 void ConnectProbe::end(std::uint64_t id, ServerCheckResult life) {
-  const auto found = Tries.extract(id);
+  const auto found = Attempts.extract(id);
   if (found)
     found.mapped()->Done(life);
 }
--- a/packages/http/pimentofront/src/Http/ConnectProbe.h
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.h
@@ -12,8 +12,9 @@
 
 /// \class ConnectProbe
 /// \ingroup Http
-/// \brief Finds out whether a server's process still runs, by one connection
-/// that carries nothing: a host refuses those to a process that has ended.
+/// \brief Checks whether a server's process still runs by opening a connection
+/// without sending data: a host refuses connections to a process that has
+/// exited.
 class ConnectProbe {
 public:
   using Callback = std::function<void(ServerCheckResult)>;
@@ -23,16 +24,17 @@
   ConnectProbe(const ConnectProbe &) = delete;
   ConnectProbe &operator=(const ConnectProbe &) = delete;
 
-  /// Connects to \p address; \p done is called once, and never from here.
+  /// Connects to \p address. \p done is called once, from the event loop and
+  /// never from inside this function.
   void start(const std::string &address, Callback done);
 
 private:
-  struct Try;
+  struct Attempt;
   void end(std::uint64_t id, ServerCheckResult life);
 
   EventLoop &Loop;
   std::uint64_t LastId = 0;
-  std::map<std::uint64_t, std::unique_ptr<Try>> Tries;
+  std::map<std::uint64_t, std::unique_ptr<Attempt>> Attempts;
 };
 
 } // namespace pimentofront
--- a/packages/http/pimentofront/src/Http/HttpParser.cpp
+++ b/packages/http/pimentofront/src/Http/HttpParser.cpp
@@ -14,14 +14,14 @@
          Marks.find(c) != std::string_view::npos;
 }
 
-/// The library takes `Name : value` for a header whose name ends in a space;
-/// another program may take it for `Name`.
-bool isValidName(const std::string &name) {
+/// http-parser reads `Name : value` as a header whose name ends in a space;
+/// another program may read it as `Name`.
+bool isToken(const std::string &name) {
   return !name.empty() && std::ranges::all_of(name, isTokenChar);
 }
 
-/// Only the one coding that all programs agree on.
-bool isProperCoding(const HttpHeader &header) {
+/// Accepts only `chunked`, the one coding that all programs interpret alike.
+bool isSupportedCoding(const HttpHeader &header) {
   return !sameHeaderName(header.Name, "transfer-encoding") ||
          sameHeaderName(header.Value, "chunked");
 }
@@ -43,7 +43,7 @@
   bool KeepsConnection = true;
   bool Interim = false;
   bool SkipsBody = false;
-  bool AnswerHasNoBody = false;
+  bool ResponseHasNoBody = false;
 
   Impl(HttpSide side, const HttpLimits &limits, HttpMessageHandler &handler)
       : Handler(handler), Limits(limits) {
@@ -95,7 +95,7 @@
 
   static int onValue(http_parser *parser, const char *at, std::size_t n) {
     Impl &self = of(parser);
-    // What stands behind the last chunk isn't passed on.
+    // Trailers aren't forwarded.
     if (self.HeadDone)
       return 0;
     self.LastWasValue = true;
@@ -108,9 +108,9 @@
     constexpr int NoBody = 1;
     self.HeadDone = true;
     for (const HttpHeader &it : self.Headers)
-      if (!isValidName(it.Name) || !isProperCoding(it))
+      if (!isToken(it.Name) || !isSupportedCoding(it))
         return -self.fail(HttpFault::Malformed);
-    // Other protocols aren't spoken here.
+    // Protocol upgrades aren't supported.
     parser->upgrade = 0;
     if (parser->type == HTTP_REQUEST)
       return self.requestHead(*parser);
@@ -119,7 +119,7 @@
     if (!self.Interim)
       self.SkipsBody = !self.Handler.onResponseHead(
           {parser->status_code, std::move(self.Headers)});
-    return self.AnswerHasNoBody ? NoBody : 0;
+    return self.ResponseHasNoBody ? NoBody : 0;
   }
 
   int requestHead(const http_parser &parser) {
@@ -150,7 +150,7 @@
   static int onComplete(http_parser *parser) {
     Impl &self = of(parser);
     self.InMessage = false;
-    // One message at a time: the next one may belong to somebody else.
+    // Stop after each message: the next one may belong to another request.
     http_parser_pause(parser, 1);
     if (!self.Interim)
       self.Handler.onMessageEnd();
@@ -205,8 +205,8 @@
     self.Fault = HttpFault::Malformed;
 }
 
-void HttpParser::expectAnswerTo(const std::string &method) {
-  State->AnswerHasNoBody = method == "HEAD";
+void HttpParser::expectResponseTo(const std::string &method) {
+  State->ResponseHasNoBody = method == "HEAD";
 }
 
 void HttpParser::setLimits(const HttpLimits &limits) { State->Limits = limits; }
--- a/packages/http/pimentofront/src/Http/detail/UpstreamChannel.h
+++ b/packages/http/pimentofront/src/Http/detail/UpstreamChannel.h
@@ -15,13 +15,14 @@
   UpstreamChannel(UpstreamPool &owner, std::uint64_t id, std::string address);
   ~UpstreamChannel() override;
 
-  /// \pre no request is under way.
+  /// \pre no request is in progress.
   void send(const SendUpstream &request);
   void ignore() { Ignored = true; }
   void checkTime(TimePoint now);
-  /// \returns whether it is free, and answered within \p idle.
-  bool isUsable(TimePoint now, Duration idle) const {
-    return !Ended && !Attempt && now < UsableUntil && now - FreeSince <= idle;
+  /// \returns whether the connection can be reused and has been idle for at
+  /// most \p idle.
+  bool isReusable(TimePoint now, Duration idle) const {
+    return !Ended && !Attempt && now < ReusableUntil && now - IdleSince <= idle;
   }
 
   bool onResponseHead(ResponseHead head) override;
@@ -29,7 +30,7 @@
   void onMessageEnd() override;
 
   const std::string &address() const { return Address; }
-  /// \returns the process that the last request was for.
+  /// \returns the server process that the last request was sent to.
   const ServerProcess &server() const { return Server; }
   std::uint64_t id() const { return Id; }
   void end();
@@ -38,11 +39,12 @@
   static void onReadable(bufferevent *, void *arg);
   static void onEvent(bufferevent *, short what, void *arg);
   void parse();
-  void answered();
-  void broke(UpstreamEnding ending);
-  /// \returns how a connection ended that was cut off.
-  UpstreamEnding cutOff() const;
-  void noteKeepAlive(const HttpHeaders &headers);
+  void finishResponse();
+  void failAttempt(UpstreamEnding ending);
+  /// \returns how an attempt ended whose connection closed before the complete
+  /// response.
+  UpstreamEnding endingOnClose() const;
+  void readKeepAlive(const HttpHeaders &headers);
 
   UpstreamPool &Owner;
   std::uint64_t Id;
@@ -54,17 +56,18 @@
   bool Connected = false;
   TimePoint OpenedAt;
   TimePoint ConnectedAt;
-  /// The server has sent something, for whichever request.
-  bool Heard = false;
-  /// The answer that is being read is for the request under way.
-  bool Ours = false;
+  /// The server has sent bytes on this connection, for any request.
+  bool ReceivedAny = false;
+  /// The response that is being read belongs to the request in progress. Any
+  /// other response is skipped.
+  bool BelongsToAttempt = false;
   bool Ignored = false;
-  /// Whole answer has been read.
-  bool Done = false;
+  /// The complete response has been read.
+  bool ResponseComplete = false;
   bool Ended = false;
-  Duration Keep;
-  TimePoint FreeSince;
-  TimePoint UsableUntil;
+  Duration KeepAlive;
+  TimePoint IdleSince;
+  TimePoint ReusableUntil;
 };
 
 } // namespace pimentofront::detail
--- a/packages/net/pimentofront/src/Net/HttpServer.cpp
+++ b/packages/net/pimentofront/src/Net/HttpServer.cpp
@@ -10,8 +10,8 @@
   return {static_cast<time_t>(d.count() / 1'000'000), 0};
 }
 
-/// The request object of libevhtp dies when it is answered or when its
-/// connection ends; `Request` is null from then on.
+/// libevhtp frees its request object after the response or when the connection
+/// closes; `Request` is null from then on.
 class EvhtpExchange : public HttpExchange {
 public:
   explicit EvhtpExchange(evhtp_request_t *req) : Request(req) {
@@ -110,19 +110,19 @@
   bool Answered = false;
 };
 
-/// Keeps the exchange alive as long as libevhtp knows the request.
-struct Hold {
+/// Keeps the exchange alive until libevhtp frees the request.
+struct ExchangeRef {
   std::shared_ptr<EvhtpExchange> Exchange;
   timeval CallerTimeout;
 };
 
 evhtp_res onRequestEnded(evhtp_request_t *req, void *arg) {
-  auto *hold = static_cast<Hold *>(arg);
-  // On a kept connection the next request has its time limit again.
+  auto *ref = static_cast<ExchangeRef *>(arg);
+  // Restores the timeouts for the next request on a keep-alive connection.
   if (bufferevent *bev = evhtp_request_get_bev(req))
-    bufferevent_set_timeouts(bev, &hold->CallerTimeout, &hold->CallerTimeout);
-  hold->Exchange->requestEnded();
-  delete hold;
+    bufferevent_set_timeouts(bev, &ref->CallerTimeout, &ref->CallerTimeout);
+  ref->Exchange->requestEnded();
+  delete ref;
   return EVHTP_RES_OK;
 }
 
@@ -136,11 +136,11 @@
   static void onRequest(evhtp_request_t *req, void *arg) {
     auto *self = static_cast<Impl *>(arg);
     auto exchange = std::make_shared<EvhtpExchange>(req);
-    auto *hold = new Hold{exchange, self->CallerTimeout};
+    auto *ref = new ExchangeRef{exchange, self->CallerTimeout};
     evhtp_request_set_hook(req, evhtp_hook_on_request_fini,
-                           reinterpret_cast<evhtp_hook>(onRequestEnded), hold);
-    // The request is complete: from here on the answer may take its time, and
-    // only a caller that doesn't read is cut off.
+                           reinterpret_cast<evhtp_hook>(onRequestEnded), ref);
+    // The request is complete. Computing the response has no time limit; only a
+    // caller that doesn't read the response is disconnected.
     bufferevent_set_timeouts(evhtp_request_get_bev(req), nullptr,
                              &self->CallerTimeout);
     self->Handler.onRequest(std::move(exchange));
--- a/packages/net/pimentofront/src/Net/Socket.cpp
+++ b/packages/net/pimentofront/src/Net/Socket.cpp
@@ -13,10 +13,11 @@
   return result;
 }
 
-void prepareSocket(int fd) {
+void setSocketOptions(int fd) {
   const int on = 1;
-  // A silent cut is noticed within three seconds: callers wait for an answer
-  // some seconds, and a lost packet is sent again several times before.
+  // A silent network failure is detected within three seconds: callers wait
+  // some seconds for a response, and TCP retransmits a lost packet several
+  // times within that time.
   const unsigned unacknowledgedMilliseconds = 3'000;
   const int idleSeconds = 1;
   const int probes = 2;
--- a/test/EngineOrdersTest.cpp
+++ b/test/EngineOrdersTest.cpp
@@ -14,8 +14,9 @@
 constexpr const char *Model = "m";
 constexpr std::size_t Slots = 2;
 
-/// An engine that may leave an order unanswered and carry it out later: it
-/// looks only then whether the order still fits.
+/// An engine that may leave an order unanswered and carry it out later. It
+/// checks only then whether the order still matches its process and order
+/// count.
 class LateEngine : public CallerHandler {
 public:
   explicit LateEngine(EventLoop &loop)
@@ -42,9 +43,9 @@
   }
   void onCallerDisconnected(CallerKey) override {}
 
-  /// It crashes and starts again, empty.
+  /// Simulates a crash and a restart without models and adapters.
   void restart() {
-    if (TellsStart)
+    if (ReportsStart)
       ++StartedAt;
     else
       Instance += "'";
@@ -53,8 +54,8 @@
     Adapters.clear();
   }
   bool hasLate() const { return !Late.empty(); }
-  /// Carries out those orders whose moment has come, and keeps the others.
-  void carryOutLateIfItFits() {
+  /// Carries out those late orders that match, and keeps the others.
+  void carryOutMatching() {
     std::erase_if(Late,
                   [this](const Order &it) { return carryOut(it) == 202; });
   }
@@ -64,14 +65,14 @@
   }
 
   std::string Instance = "i";
-  /// It says when it started, and keeps its name then.
-  bool TellsStart = false;
+  /// Reports its start time; its name then stays the same after a restart.
+  bool ReportsStart = false;
   std::uint64_t StartedAt = 1700000000000;
-  /// Loads of this adapter get no answer and are carried out late.
+  /// Loads of this adapter are not answered and are carried out late.
   std::string Unanswered = "none";
-  bool Overfull = false;
+  bool ExceededSlots = false;
   std::uint64_t Accepted = 0;
-  /// It has its base model from the beginning, without an order.
+  /// It has its base model initially, without an order.
   bool HasModel = true;
   std::set<std::string> Adapters;
 
@@ -96,7 +97,7 @@
       Adapters.erase(adapter);
     else
       Adapters.insert(adapter);
-    Overfull = Overfull || Adapters.size() > Slots;
+    ExceededSlots = ExceededSlots || Adapters.size() > Slots;
     return 202;
   }
 
@@ -109,7 +110,7 @@
       models.push_back({{"name", Model}, {"version", 1}, {"adapters", names}});
     nlohmann::json report{
         {"models", models}, {"busy", false}, {"seq", Accepted}};
-    if (TellsStart)
+    if (ReportsStart)
       report["born"] = StartedAt;
     return report.dump();
   }
@@ -118,7 +119,7 @@
   std::vector<Order> Late;
 };
 
-class NoNetwork : public Transport {
+class FakeTransport : public Transport {
 public:
   LinkId open(const std::string &, LinkPurpose) override { return Leader; }
   void send(LinkId, const Message &message) override {
@@ -136,7 +137,7 @@
   std::set<AttemptId> Refused;
 };
 
-/// An agent beside the engine, with a fencing token and a profile.
+/// An agent on the engine's host, with a fencing token and a profile.
 struct AgentUnderTest {
   AgentUnderTest()
       : Engine(Loop), Client(Loop), Orders(Loop, Client,
@@ -156,12 +157,12 @@
              Eviction, Gate, Orders, Network) {
     Orders.setNode(Node);
     const Hello hello{.Protocol = ProtocolVersion};
-    Node.onLinkOpen(Loop.now(), NoNetwork::Leader, hello);
-    Node.onLinkOpen(Loop.now(), NoNetwork::Entry, hello);
+    Node.onLinkOpen(Loop.now(), FakeTransport::Leader, hello);
+    Node.onLinkOpen(Loop.now(), FakeTransport::Entry, hello);
     Node.onMessage(
-        Loop.now(), NoNetwork::Leader,
+        Loop.now(), FakeTransport::Leader,
         LeaseReply{.Known = true, .Lease = 1min, .Members = 1, .Fence = 1});
-    Node.onMessage(Loop.now(), NoNetwork::Entry,
+    Node.onMessage(Loop.now(), FakeTransport::Entry,
                    EngineProfile{.At = 1,
                                  .BaseModel = Model,
                                  .AdapterSlots = Slots,
@@ -175,12 +176,12 @@
       Node.tick(Loop.now());
     }
   }
-  /// An entry asks for a place, and the engine answers.
+  /// An entry requests a slot for a new attempt.
   void ask(const char *adapter) { ask(adapter, Engine.Instance); }
   void ask(const char *adapter, const std::string &instance) {
     const AttemptId attempt{7, ++Asked};
     Node.onMessage(
-        Loop.now(), NoNetwork::Entry,
+        Loop.now(), FakeTransport::Entry,
         ExecuteRequest{
             .Attempt = attempt,
             .Request = RequestId(std::to_string(Asked)),
@@ -190,19 +191,20 @@
             .BaseModel = "engines",
             .Delegated = true,
             .Server = HostName(instance),
-            .ServerStartedAt = Engine.TellsStart ? Engine.StartedAt : 0});
+            .ServerStartedAt = Engine.ReportsStart ? Engine.StartedAt : 0});
   }
-  /// Asks, and answers once it has its place.
+  /// Requests a slot, waits until the attempt runs and releases it.
   void serve(const char *adapter) {
     ask(adapter);
     const AttemptId attempt{7, Asked};
     turnUntil(
         [&] { return Node.controller().board().Running.contains(attempt); });
-    Node.onMessage(Loop.now(), NoNetwork::Entry,
+    Node.onMessage(Loop.now(), FakeTransport::Entry,
                    AttemptReleased{.Attempt = attempt});
   }
   bool ready() { return Node.controller().board().EngineReady; }
-  /// The agent notices that the engine has started again, and uses it.
+  /// Runs until the agent has noticed the engine's restart and the engine is
+  /// ready again.
   void awaitRestart() {
     turnUntil([&] { return !ready(); });
     turnUntil([&] { return ready(); });
@@ -213,7 +215,7 @@
   HttpClient Client;
   LeastPopular Eviction;
   UncoordinatedLoads Gate;
-  NoNetwork Network;
+  FakeTransport Network;
   platform::EngineOrders Orders;
   AgentNode Node;
   std::uint64_t Asked = 0;
@@ -221,9 +223,9 @@
 
 } // namespace
 
-// A day on which engines left orders unanswered and carried them out seconds
-// later: one that was given before a restart came when the new process had
-// accepted as many orders as the old one then, and had no slot free.
+// Guards against an overfull engine: an order that was sent before a restart is
+// carried out seconds later, when the new process has accepted as many orders
+// as the order names and has no free slot.
 TEST_CASE("an order from before a restart isn't carried out after it") {
   AgentUnderTest it;
   it.turnUntil([&] { return it.ready(); });
@@ -238,41 +240,42 @@
   it.serve("e");
   REQUIRE(it.Engine.Adapters.size() == Slots);
   it.Engine.carryOutLate();
-  CHECK_FALSE(it.Engine.Overfull);
+  CHECK_FALSE(it.Engine.ExceededSlots);
 }
 
-TEST_CASE("an order for an engine's former process loses no request") {
+TEST_CASE("an order for an engine's previous process loses no request") {
   AgentUnderTest it;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.Engine.restart();
   it.awaitRestart();
-  // The entry doesn't know yet that the engine has started again.
+  // The entry doesn't know of the engine's restart yet.
   it.ask("b", "i");
   const AttemptId attempt{7, it.Asked};
   it.turnUntil([&] { return it.Network.refused(attempt); });
-  // Nothing is held against the adapter.
+  // The refusal doesn't count as a failed load of the adapter.
   it.serve("b");
   CHECK(it.Engine.Adapters == std::set<std::string>{"b"});
 }
 
-TEST_CASE("an engine that is found without its base model gets it") {
+TEST_CASE("an engine without its base model is ordered to load it") {
   AgentUnderTest it;
   it.Engine.HasModel = false;
-  // An entry names the engine's process before the agent has seen it.
+  // An entry names the engine's process before the agent knows it.
   it.ask("a");
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   CHECK(it.Engine.Adapters == std::set<std::string>{"a"});
 }
 
-TEST_CASE("an engine that starts again under its name serves at once") {
+TEST_CASE("an engine that restarts under the same name serves at once") {
   AgentUnderTest it;
-  it.Engine.TellsStart = true;
+  it.Engine.ReportsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.serve("b");
-  // As many orders as before between two reports, and the base model.
+  // Between two reports the new process accepts as many orders as the old one
+  // had, and loads the base model.
   it.Engine.restart();
   it.Engine.Accepted = 2;
   it.Engine.HasModel = true;
@@ -281,9 +284,9 @@
   CHECK(it.Engine.Adapters == std::set<std::string>{"c"});
 }
 
-TEST_CASE("a request for an engine's former process under its name goes back") {
+TEST_CASE("a request for an engine's process before its restart is refused") {
   AgentUnderTest it;
-  it.Engine.TellsStart = true;
+  it.Engine.ReportsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.Engine.restart();
@@ -295,15 +298,15 @@
   it.serve("b");
 }
 
-// The order of before the restart names the engine and its count of orders, and
-// both fit again: only room that was kept helps.
-TEST_CASE("room is kept for an order from before a restart under one name") {
+// An order from before the restart matches the engine's name and, later, its
+// order count again. Only a slot that is kept free prevents an overfull engine.
+TEST_CASE("a slot stays free for an old order after a restart under one name") {
   AgentUnderTest it;
-  it.Engine.TellsStart = true;
+  it.Engine.ReportsStart = true;
   it.turnUntil([&] { return it.ready(); });
   it.serve("a");
   it.serve("b");
-  // It gives up one for the third, which is the fourth order.
+  // It unloads one for the third, whose load is the fourth order.
   it.Engine.Unanswered = "c";
   it.ask("c");
   it.turnUntil([&] { return it.Engine.hasLate(); });
@@ -315,7 +318,7 @@
       event_base_loop(it.Loop.base(), EVLOOP_ONCE);
       it.Node.tick(it.Loop.now());
     }
-    it.Engine.carryOutLateIfItFits();
-    CHECK_FALSE(it.Engine.Overfull);
+    it.Engine.carryOutMatching();
+    CHECK_FALSE(it.Engine.ExceededSlots);
   }
 }
--- a/test/HttpTest.cpp
+++ b/test/HttpTest.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Collects what a parser gives out, message by message.
+/// Collects what a parser reports, message by message.
 struct Collector : HttpMessageHandler {
   bool onRequestHead(RequestHead head) override {
     Requests.push_back(std::move(head));
@@ -25,10 +25,10 @@
   int Ended = 0;
 };
 
-struct Reading {
-  explicit Reading(HttpSide side, const HttpLimits &limits = {})
-      : Parser(side, limits, Seen) {}
-  /// Feeds all bytes, \p step at a time; \returns whether there is no fault.
+struct ParserUnderTest {
+  explicit ParserUnderTest(HttpSide side, const HttpLimits &limits = {})
+      : Parser(side, limits, Collected) {}
+  /// Feeds all bytes, \p step at a time. \returns whether there is no fault.
   bool feed(std::string_view bytes, std::size_t step = 100000) {
     while (!bytes.empty() && Parser.fault() == HttpFault::None) {
       std::string_view part = bytes.substr(0, step);
@@ -39,44 +39,44 @@
     }
     return Parser.fault() == HttpFault::None;
   }
-  Collector Seen;
+  Collector Collected;
   HttpParser Parser;
 };
 
 HttpFault faultOf(std::string_view bytes, HttpLimits limits = {}) {
-  Reading reading(HttpSide::Requests, limits);
+  ParserUnderTest reading(HttpSide::Requests, limits);
   reading.feed(bytes);
   return reading.Parser.fault();
 }
 
 } // namespace
 
-TEST_CASE("a request is read the same in any pieces") {
+TEST_CASE("a request is parsed alike however its bytes are split") {
   const std::string bytes = "POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\n"
                             "Transfer-Encoding: chunked\r\nX-Y: z\r\n\r\n"
                             "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n";
   for (const std::size_t step : {1U, 2U, 7U, 1000U}) {
-    Reading reading(HttpSide::Requests);
+    ParserUnderTest reading(HttpSide::Requests);
     REQUIRE(reading.feed(bytes, step));
-    REQUIRE(reading.Seen.Ended == 1);
-    CHECK(reading.Seen.Body == "abcde");
-    CHECK(reading.Seen.Requests.at(0).Method == "POST");
-    CHECK(reading.Seen.Requests.at(0).Target == "/a/b?c=d");
-    CHECK(*findHeader(reading.Seen.Requests.at(0).Headers, "x-y") == "z");
+    REQUIRE(reading.Collected.Ended == 1);
+    CHECK(reading.Collected.Body == "abcde");
+    CHECK(reading.Collected.Requests.at(0).Method == "POST");
+    CHECK(reading.Collected.Requests.at(0).Target == "/a/b?c=d");
+    CHECK(*findHeader(reading.Collected.Requests.at(0).Headers, "x-y") == "z");
   }
 }
 
-TEST_CASE("one message at a time is read from what came together") {
-  Reading reading(HttpSide::Requests);
+TEST_CASE("the parser stops after each of several pipelined messages") {
+  ParserUnderTest reading(HttpSide::Requests);
   const std::string two = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
   const std::size_t used = reading.Parser.feed(two);
   CHECK(used == two.size() / 2);
-  CHECK(reading.Seen.Requests.size() == 1);
+  CHECK(reading.Collected.Requests.size() == 1);
   reading.feed(two.substr(used));
-  CHECK(reading.Seen.Requests.size() == 2);
+  CHECK(reading.Collected.Requests.size() == 2);
 }
 
-TEST_CASE("a request that could be read in two ways is refused") {
+TEST_CASE("an ambiguous request is rejected") {
   const std::string start = "POST / HTTP/1.1\r\nHost: x\r\n";
   const char *smuggling[] = {
       "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -97,7 +97,7 @@
   CHECK(faultOf("not http at all\r\n\r\n") == HttpFault::Malformed);
 }
 
-TEST_CASE("a request beyond the limits is refused") {
+TEST_CASE("a request that exceeds the limits is rejected") {
   const HttpLimits limits{.MaxHeadBytes = 1000, .MaxBodyBytes = 10};
   CHECK(faultOf("GET / HTTP/1.1\r\nX: " + std::string(2000, 'x') + "\r\n\r\n",
                 limits) == HttpFault::HeadTooLarge);
@@ -116,7 +116,7 @@
                 limits) == HttpFault::None);
 }
 
-TEST_CASE("an answer that is cut off is never taken for a whole one") {
+TEST_CASE("a truncated response is never taken as complete") {
   const char *cut[] = {
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -125,47 +125,47 @@
   };
   for (const char *it : cut) {
     INFO(it);
-    Reading reading(HttpSide::Answers);
+    ParserUnderTest reading(HttpSide::Answers);
     reading.feed(it);
     reading.Parser.finish();
-    CHECK(reading.Seen.Ended == 0);
+    CHECK(reading.Collected.Ended == 0);
     CHECK(reading.Parser.fault() == HttpFault::Malformed);
   }
 }
 
-TEST_CASE("an answer without a length is whole when the connection ends") {
-  Reading reading(HttpSide::Answers);
+TEST_CASE("a response without a length is complete when its connection ends") {
+  ParserUnderTest reading(HttpSide::Answers);
   reading.feed("HTTP/1.1 200 OK\r\n\r\nabc");
-  CHECK(reading.Seen.Ended == 0);
+  CHECK(reading.Collected.Ended == 0);
   reading.Parser.finish();
-  CHECK(reading.Seen.Ended == 1);
-  CHECK(reading.Seen.Body == "abc");
+  CHECK(reading.Collected.Ended == 1);
+  CHECK(reading.Collected.Body == "abc");
   CHECK_FALSE(reading.Parser.keepsConnection());
 }
 
-TEST_CASE("answers of doubtful framing are refused") {
+TEST_CASE("responses with ambiguous framing are rejected") {
   for (const char *it :
        {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"
         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "\x01\x02\x03garbage\r\n\r\n"}) {
-    Reading reading(HttpSide::Answers);
+    ParserUnderTest reading(HttpSide::Answers);
     CHECK_FALSE(reading.feed(it));
   }
 }
 
-TEST_CASE("an interim answer is passed over, and HEAD has no body") {
-  Reading reading(HttpSide::Answers);
-  reading.Parser.expectAnswerTo("HEAD");
+TEST_CASE("an interim response is skipped, and HEAD has no body") {
+  ParserUnderTest reading(HttpSide::Answers);
+  reading.Parser.expectResponseTo("HEAD");
   REQUIRE(reading.feed("HTTP/1.1 100 Continue\r\n\r\n"
                        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"));
-  REQUIRE(reading.Seen.Ended == 1);
-  CHECK(reading.Seen.Answers.at(0).Status == 200);
-  CHECK(reading.Seen.Body.empty());
+  REQUIRE(reading.Collected.Ended == 1);
+  CHECK(reading.Collected.Answers.at(0).Status == 200);
+  CHECK(reading.Collected.Body.empty());
 }
 
-TEST_CASE("no bytes make the parser do anything but refuse them") {
-  // Mutations of sound messages, by a fixed seed.
+TEST_CASE("mutated requests don't crash the parser or yield surplus data") {
+  // Mutates well-formed messages with a fixed seed.
   const std::string sound[] = {
       "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello",
       "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
@@ -175,31 +175,31 @@
     std::string bytes = sound[random.next() % 2];
     for (std::uint64_t n = random.next() % 4; n > 0; --n)
       bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
-    Reading reading(HttpSide::Requests);
+    ParserUnderTest reading(HttpSide::Requests);
     reading.feed(bytes, 1 + random.next() % bytes.size());
-    CHECK(reading.Seen.Ended <= 2);
-    CHECK(reading.Seen.Body.size() <= bytes.size());
+    CHECK(reading.Collected.Ended <= 2);
+    CHECK(reading.Collected.Body.size() <= bytes.size());
   }
 }
 
-TEST_CASE("what is written is read again as it was") {
+TEST_CASE("written messages are parsed back unchanged") {
   const RequestHead head{"POST", "/x", {{"Host", "h"}, {"A", "b"}}};
-  Reading requests(HttpSide::Requests);
+  ParserUnderTest requests(HttpSide::Requests);
   REQUIRE(requests.feed(writeRequestHead(head, 3) + "abc"));
-  REQUIRE(requests.Seen.Ended == 1);
-  CHECK(requests.Seen.Requests.at(0).Target == "/x");
-  CHECK(requests.Seen.Body == "abc");
+  REQUIRE(requests.Collected.Ended == 1);
+  CHECK(requests.Collected.Requests.at(0).Target == "/x");
+  CHECK(requests.Collected.Body == "abc");
   const ResponseHead answer{200, {{"A", "b"}}};
-  Reading answers(HttpSide::Answers);
+  ParserUnderTest answers(HttpSide::Answers);
   REQUIRE(answers.feed(
       writeResponseHead(answer, HttpFraming::Chunked, 0, true) +
       writeChunkHead(20) + std::string(20, 'x') + "\r\n0\r\n\r\n"));
-  CHECK(answers.Seen.Body == std::string(20, 'x'));
+  CHECK(answers.Collected.Body == std::string(20, 'x'));
   CHECK(writeResponseHead(answer, HttpFraming::Length, 3, false)
             .find("Connection: close") != std::string::npos);
 }
 
-TEST_CASE("headers of one connection aren't passed on") {
+TEST_CASE("hop-by-hop headers are removed") {
   HttpHeaders headers = {
       {"Connection", "close, X-Hop"}, {"x-hop", "1"},
       {"Keep-Alive", "timeout=5"},    {"Transfer-Encoding", "chunked"},
