--- a/packages/daemon/src/ApiHandler.cpp
+++ b/packages/daemon/src/ApiHandler.cpp
@@ -52,7 +52,7 @@
   return summary;
 }
 
-/// Adds a fault for each name that is empty or too long.
+/// Adds a finding if the name is empty or longer than MaxNameBytes.
 void checkName(const char *field, const std::string &value, Findings &faults) {
   if (value.empty() || value.size() > MaxNameBytes)
     faults.add(field, "expected 1 to 128 bytes");
@@ -349,7 +349,8 @@
   const auto it = Calls.find(key);
   Log.write(LogLevel::Warn, "caller_too_slow",
             {{"request", it->second.Id.str()}});
-  // Cut off outside this call-back: the request is still being worked on.
+  // Aborts from the event loop, since the callers of this function still use
+  // the request.
   auto exchange = it->second.Call.Exchange;
   auto timer = std::make_shared<std::unique_ptr<Timer>>();
   *timer = Loop.after(Duration::zero(), [exchange, timer] {
--- a/packages/daemon/src/ApiHandler.h
+++ b/packages/daemon/src/ApiHandler.h
@@ -10,11 +10,12 @@
 namespace pimentofront {
 
 /// \class ApiCall
-/// \brief One call of the public interface, until it is answered.
+/// \brief A call of the public API that has not been answered yet.
 struct ApiCall {
   std::shared_ptr<HttpExchange> Exchange;
   ConnectContent Content;
-  /// The message in the body, still encoded.
+  /// The encoded request message: the body of the HTTP request or, for a
+  /// streaming method, the contents of its envelope.
   std::string Body;
   Duration Timeout = Duration::zero();
 
@@ -23,7 +24,8 @@
 };
 
 /// \class ApiParts
-/// \brief The nodes that this process has; null where it hasn't.
+/// \brief The nodes that run in this process; null for roles that it does not
+/// have.
 struct ApiParts {
   EntryNode *Entry = nullptr;
   AgentNode *Agent = nullptr;
@@ -32,8 +34,8 @@
 };
 
 /// \class ApiHandler
-/// \brief Serves the public interface: callers' calls, operators' calls, and
-/// plain HTTP for health, readiness and metrics.
+/// \brief Serves the public API: calls of callers and of operators in the
+/// Connect protocol, and plain HTTP pages for health, readiness and metrics.
 class ApiHandler : public HttpHandler, public AnswerSink {
 public:
   ApiHandler(EventLoop &loop, const Settings &settings, EventLog &log,
@@ -41,7 +43,8 @@
   ~ApiHandler() override;
 
   void setParts(const ApiParts &parts) { Parts = parts; }
-  /// From now on the process is not ready; the balancer turns away.
+  /// Makes the readiness page report "not ready", so that the load balancer
+  /// stops sending requests to this process.
   void beginStop() { Stopping = true; }
 
   void onRequest(std::shared_ptr<HttpExchange> exchange) override;
@@ -51,7 +54,7 @@
                const FinalAnswer &answer) override;
 
 private:
-  /// What a caller waits for.
+  /// The form in which a caller gets its response.
   enum class Waiting : std::uint8_t { Text, Stream, Service };
   struct Pending {
     ApiCall Call;
@@ -87,13 +90,16 @@
   std::unordered_map<RequestKey, Pending> Calls;
 };
 
-/// Serves one call of the Operator service, if \p method names one.
-/// \returns whether it does.
+/// Serves a call of the Operator service.
+/// \returns false if that service has no \p method in this process; the call is
+/// then not answered.
 bool serveOperatorCall(const ApiParts &parts, const Settings &settings,
                        TimePoint now, std::string_view method,
                        const ApiCall &call);
 
-/// Reads the message of \p call; a malformed one is answered.
+/// Decodes the message of \p call. Answers the call with an error if the
+/// message is malformed.
+/// \returns whether \p message was decoded.
 bool readOrFail(const ApiCall &call, google::protobuf::Message &message);
 
 } // namespace pimentofront
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -25,7 +25,7 @@
     : Options(settings), Wall(Loop), Incarnation(randomNumber()) {}
 
 Daemon::~Daemon() {
-  // Timers call into what is destroyed after them.
+  // The timers' callbacks use members, so the timers are destroyed first.
   FlushTimer.reset();
   StopTimer.reset();
   StoreTimer.reset();
@@ -39,7 +39,8 @@
   if (!store) {
     std::fprintf(stderr, "%s: %s\n", Options.DataFolder.c_str(),
                  store.error().Detail.c_str());
-    // A disk that takes no writes may take them later; damage stays.
+    // A disk that rejects writes may accept them later, so opening is retried;
+    // damaged data does not recover.
     return store.error().What == LogStoreError::Kind::Unwritable
                ? ExitCode::Good
                : ExitCode::Data;
@@ -94,14 +95,15 @@
   Replica = std::make_unique<ReplicaNode>(now, replica, Stored, *Store,
                                           *Network, Wall);
   Stored = StoredLog();
-  // Reading the state took several times its memory for a moment.
+  // Loading the state temporarily allocates several times its size; return that
+  // memory to the operating system.
   malloc_trim(0);
   Control->setReplica(Replica.get());
   bootstrapIfFirst(now);
 }
 
-/// All replicas start with the same list; the first one forms the group, and
-/// the others ask it to be taken in.
+/// All replicas start with the same list of addresses. The replica with the
+/// smallest address forms the group, and the others ask to join it.
 void Daemon::bootstrapIfFirst(TimePoint now) {
   const auto first = std::ranges::min_element(Options.Replicas);
   if (!Options.Bootstrap || *first != Options.PeerAddress ||
@@ -217,7 +219,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Links: each node takes what is its own
+// Links: every node gets all events and ignores those of other nodes
 //===----------------------------------------------------------------------===//
 
 void Daemon::onLinkOpen(LinkId link, const Hello &hello) {
@@ -254,7 +256,8 @@
   const auto peer = Peers.extract(link);
   Log->write(
       LogLevel::Info, "peer_lost",
-      {{"peer", peer ? peer.mapped().str() : "never reached"}, {"link", link}});
+      {{"peer", peer ? peer.mapped().str() : "connection never established"},
+       {"link", link}});
   if (Replica)
     Replica->onLinkClosed(now, link);
   if (Agent)
@@ -265,7 +268,8 @@
     Forward->onLinkClosed(now, link);
 }
 
-/// All messages of one turn of the loop share one sync of the disk.
+/// Flushes after the current iteration of the event loop, so that all messages
+/// of one iteration share one sync of the disk.
 void Daemon::flushSoon() {
   if (FlushTimer)
     return;
@@ -277,7 +281,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Time and the end
+// Periodic work and shutdown
 //===----------------------------------------------------------------------===//
 
 void Daemon::tick() {
@@ -309,7 +313,7 @@
 
 } // namespace
 
-/// One line for each change of what this replica believes of its group.
+/// Logs each change of the group's state as this replica sees it.
 void Daemon::logGroupState() {
   const ReplicatedLog &log = Replica->log();
   const ReplicaDescriptor *leader = log.leader();
@@ -347,9 +351,10 @@
   closeReplica();
 }
 
-/// A replica that can't remember must not take part. What the folder holds is
-/// read anew, once the disk takes writes again: nothing that was promised to
-/// anybody is missing there.
+/// Stops the replica after a failed write, since a replica that cannot persist
+/// its state must not take part in the group. Once the disk accepts writes
+/// again, the state is read back from the data folder, which has everything
+/// that the replica has promised to others.
 void Daemon::closeReplica() {
   Control->setReplica(nullptr);
   Api->setParts({Entry.get(), Agent.get(), nullptr, Forward.get()});
@@ -388,7 +393,8 @@
     Front->beginStop();
   if (Agent)
     Agent->leave(Loop.now());
-  // The balancer sees that this entry isn't ready before it refuses anything.
+  // Gives the load balancer time to see that this process is not ready before
+  // it refuses requests.
   StopTimer = Loop.after(Options.StopNotice, [this] {
     if (Entry)
       Entry->stop();
@@ -412,7 +418,7 @@
                {{"limit_seconds", toSeconds(Options.StopLimit)}});
   if (Agent)
     Agent->sayGoodbye(Loop.now());
-  // The goodbye has to leave the process.
+  // Gives the leave message time to be sent.
   constexpr Duration Farewell = std::chrono::milliseconds(100);
   StopTimer = Loop.after(Farewell, [this] { Loop.stop(); });
 }
--- a/packages/daemon/src/Daemon.h
+++ b/packages/daemon/src/Daemon.h
@@ -11,12 +11,12 @@
 
 namespace pimentofront {
 
-/// How the daemon ends, as its exit code.
+/// Exit codes of the daemon.
 enum class ExitCode : int {
   Good = 0,
-  /// Bad command line.
+  /// The command line is invalid.
   Usage = 2,
-  /// Settings with faults.
+  /// The settings are invalid.
   Settings = 3,
   /// An address can't be bound.
   Address = 4,
@@ -25,7 +25,8 @@
 };
 
 /// \class Daemon
-/// \brief One process: a loop, and the parts that its settings name.
+/// \brief A daemon process: an event loop and the nodes for the roles that are
+/// named in its settings.
 class Daemon : public PeerHandler {
 public:
   explicit Daemon(const Settings &settings);
@@ -33,7 +34,8 @@
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Runs until a signal ends it.
+  /// Runs until a signal stops the process, or until the data folder turns out
+  /// to be damaged.
   ExitCode run();
 
   void onLinkOpen(LinkId link, const Hello &hello) override;
@@ -103,7 +105,7 @@
   std::unique_ptr<Timer> StopTimer;
   std::unique_ptr<Timer> StoreTimer;
   std::optional<TimePoint> StopBegan;
-  /// What was logged last of the replica group.
+  /// The replica group's state as this replica sees it; the last one logged.
   struct GroupState {
     LogRole Role = LogRole::Follower;
     pimentofront::Term Term = 0;
@@ -112,7 +114,7 @@
     friend bool operator==(const GroupState &, const GroupState &) = default;
   };
   GroupState LoggedGroup;
-  /// Who is on the other side of each link, for the log.
+  /// Host at the other end of each link, for the log.
   std::map<LinkId, HostName> Peers;
   bool Led = false;
   bool StoreFailed = false;
--- a/packages/daemon/src/EngineDriver.cpp
+++ b/packages/daemon/src/EngineDriver.cpp
@@ -12,12 +12,13 @@
 constexpr Duration ProbeTimeout = std::chrono::seconds(2);
 constexpr char VersionMark = '@';
 
-/// The name under which the engine knows one version of an adapter.
+/// \returns the name that the engine has for a version of an adapter.
 std::string engineName(const AdapterKey &key) {
   return key.Adapter.str() + VersionMark + std::to_string(key.Version);
 }
 
-/// \returns the adapter that an engine's name stands for, if it is one of ours.
+/// \returns the adapter's version that engineName() maps to \p name; nothing
+/// for a name of another form, such as that of the base model.
 std::optional<AdapterKey> parseEngineName(const std::string &name) {
   const std::size_t mark = name.rfind(VersionMark);
   if (mark == std::string::npos || mark + 1 == name.size())
@@ -139,7 +140,8 @@
   if (it == Generations.end())
     return;
   const bool whole = it->second.Done && answer.Status == StatusOk;
-  // An engine that started anew doesn't know the adapter: it ran nothing.
+  // A restarted engine answers 404 since it has not loaded the adapter: the
+  // request was not run.
   constexpr int StatusNotFound = 404;
   const bool notRun = answer.Ending == HttpEnding::NotSent ||
                       (answer.Ending == HttpEnding::Complete &&
@@ -163,10 +165,10 @@
 void EngineDriver::cancel(const AttemptId &attempt) {
   const auto it = Generations.find(attempt);
   if (it == Generations.end())
-    return; // A call of a plain service runs to its end.
+    return; // Calls of plain services are not cancelled.
   Log.write(LogLevel::Info, "generation_cancelled",
             {{"request", it->second.Request.str()}});
-  // The engine stops when the connection goes.
+  // The engine stops generating when the connection closes.
   Client.cancel(it->second.Call);
   Generations.erase(it);
   Node->controller().onWorkEnded(Loop.now(), attempt, AttemptEnding::Cancelled,
@@ -283,9 +285,9 @@
 void EngineDriver::onMetrics(const HttpAnswer &answer) {
   const auto started = metricValue(answer.Body, "process_start_time_seconds");
   if (answer.Status != StatusOk || !started)
-    return engineLost("it doesn't answer");
+    return engineLost("the engine does not answer");
   if (StartedAt != 0 && *started != StartedAt)
-    engineLost("it has started anew");
+    engineLost("the engine has restarted");
   const auto running = metricValue(answer.Body, "vllm:num_requests_running");
   const bool idle = running && *running == 0;
   if (StartedAt == *started && Node->controller().board().EngineReady)
@@ -305,7 +307,7 @@
   const Json json = Json::parse(answer.Body, nullptr, false);
   if (answer.Status != StatusOk || json.is_discarded() ||
       !json.contains("data") || !json["data"].is_array())
-    return engineLost("its list of models can't be read");
+    return engineLost("the engine's list of models is unreadable");
   std::vector<AdapterKey> resident;
   for (const Json &it : json["data"]) {
     if (!it.is_object() || !it.contains("id") || !it["id"].is_string())
@@ -326,7 +328,8 @@
     return;
   StartedAt = 0;
   Log.write(LogLevel::Warn, "engine_lost", {{"why", why}});
-  // The controller ends all attempts itself.
+  // The controller ends all attempts in onEngineLost(), so only the HTTP calls
+  // are cancelled here.
   for (const auto &[attempt, generation] : Generations)
     Client.cancel(generation.Call);
   Generations.clear();
--- a/packages/daemon/src/EngineDriver.h
+++ b/packages/daemon/src/EngineDriver.h
@@ -10,16 +10,18 @@
 namespace pimentofront {
 
 /// \class EngineDriver
-/// \brief Speaks to an engine with the OpenAI-style completions stream and its
-/// published endpoints to load and unload LoRA adapters, and calls plain
-/// services. Another sort of engine is another class like this.
+/// \brief Drives an engine with an OpenAI-compatible API: streams completions
+/// and loads and unloads LoRA adapters through the engine's public endpoints.
+/// Also calls plain services. Engines with another API get a BackendDriver of
+/// their own.
 class EngineDriver : public BackendDriver {
 public:
   EngineDriver(EventLoop &loop, HttpClient &client, const Settings &settings,
                EventLog &log, Metrics &metrics);
   ~EngineDriver() override;
 
-  /// The node that is told what happens; to be set before anything runs.
+  /// Sets the node that is notified of results; must be called before any
+  /// request is run. Starts the probes of the engine.
   void setNode(AgentNode &node);
 
   void generate(const ExecuteRequest &request) override;
@@ -59,7 +61,8 @@
   std::unordered_map<AttemptId, HttpCallId> ServiceCalls;
   std::unique_ptr<Timer> ProbeTimer;
   bool ProbeUnderWay = false;
-  /// The engine's own sign: when its process started. 0 while it is away.
+  /// Start time of the engine's process as the engine reports it; a change
+  /// shows a restart. 0 while the engine is unavailable.
   double StartedAt = 0;
 };
 
--- a/packages/daemon/src/EventLog.cpp
+++ b/packages/daemon/src/EventLog.cpp
@@ -13,7 +13,7 @@
 namespace pimentofront {
 namespace {
 
-/// \returns \p text as a JSON string; what isn't UTF-8 is replaced.
+/// \returns \p text as a JSON string, with invalid UTF-8 replaced.
 std::string quoted(const std::string &text) {
   return nlohmann::json(text).dump(-1, ' ', false,
                                    nlohmann::json::error_handler_t::replace);
@@ -56,7 +56,7 @@
   log4cplus::helpers::Properties Properties;
   log4cplus::Initializer Library;
   log4cplus::Logger Logger;
-  /// Set when lines go to standard output.
+  /// The appender for standard output; null when lines go to a file.
   PipeAppender *Pipe = nullptr;
   bool Console = false;
   LogGate Gate;
@@ -84,7 +84,8 @@
     Logger.log(levelOf(level), line + "}");
   }
 
-  /// Says what was left out, so that a gap is never taken for silence.
+  /// Logs how many lines were omitted or dropped, so that a gap in the log is
+  /// not mistaken for a time without events.
   void reportGaps() {
     for (const auto &[event, n] : Gate.takeLeftOut())
       put(LogLevel::Warn, "lines_left_out", {{"of", event}, {"count", n}});
@@ -103,7 +104,8 @@
   State->Prefix = ",\"host\":" + quoted(settings.Host.str()) +
                   ",\"zone\":" + quoted(settings.Zone.str());
   auto &properties = State->Properties;
-  // The library starts threads of its own; one, which idles, is the least.
+  // log4cplus starts a thread pool; its minimum is one thread, which stays
+  // idle.
   properties.setProperty("log4cplus.threadPoolSize", "1");
   State->Console = settings.LogFile == "-";
   properties.setProperty("log4cplus.rootLogger",
@@ -130,7 +132,7 @@
                      std::initializer_list<LogField> fields) {
   if (!State->Logger.isEnabledFor(levelOf(level)))
     return;
-  // What goes wrong is never left out.
+  // Warnings and errors are never rate limited.
   if (level < LogLevel::Warn && !State->Gate.take(State->Loop.now(), event))
     return;
   State->put(level, event, fields);
--- a/packages/daemon/src/EventLog.h
+++ b/packages/daemon/src/EventLog.h
@@ -9,7 +9,7 @@
 namespace pimentofront {
 
 /// \class LogField
-/// \brief One named value of an event.
+/// \brief A named field of an event.
 struct LogField {
   LogField(const char *name, const std::string &value);
   LogField(const char *name, const char *value);
@@ -17,20 +17,21 @@
   LogField(const char *name, double value);
 
   const char *Name;
-  /// In JSON.
+  /// Encoded as JSON.
   std::string Value;
 };
 
 enum class LogLevel : std::uint8_t { Debug, Info, Warn, Error };
 
 /// \class EventLog
-/// \brief Events as JSON lines, by log4cplus. Each carries the process, its
-/// availability zone and a hybrid logical time, so that the lines of all
-/// processes merge into one time line. Lines below warnings are bounded for
-/// each event (LogGate), and standard output is never waited for.
+/// \brief Writes events as JSON lines through log4cplus. Each line has the
+/// host, its availability zone and a hybrid logical timestamp, so that the
+/// lines of all processes can be merged into one time line. Lines below the
+/// level Warn are rate limited for each event (LogGate). A full standard output
+/// never blocks the process: the line is dropped and counted.
 class EventLog {
 public:
-  /// \param clock stamps the events; outlives the log.
+  /// \param clock source of the timestamps; must outlive the log.
   EventLog(const Settings &settings, EventLoop &loop, HybridClock &clock);
   ~EventLog();
   EventLog(const EventLog &) = delete;
@@ -38,9 +39,9 @@
 
   void write(LogLevel level, const char *event,
              std::initializer_list<LogField> fields);
-  /// \returns lines that found standard output full.
+  /// \returns the number of lines dropped because standard output was full.
   std::uint64_t linesDropped() const;
-  /// Opens the file anew, after it was moved away.
+  /// Reopens the log file, after log rotation has moved it away.
   void reopen();
 
 private:
--- a/packages/daemon/src/ForwardFront.h
+++ b/packages/daemon/src/ForwardFront.h
@@ -8,24 +8,25 @@
 namespace pimentofront {
 
 /// \class ForwardFront
-/// \brief The I/O of forwarding: callers' connections on one side, those to
-/// backend servers on the other, the node's decisions between them.
+/// \brief The I/O of request forwarding: accepts callers' connections, opens
+/// connections to backend servers, and passes events to the ForwardNode, whose
+/// commands it carries out.
 class ForwardFront : public CallerHandler,
                      public UpstreamHandler,
                      public ForwardSink {
 public:
-  /// \throws std::runtime_error when the address can't be bound.
+  /// \throws std::runtime_error if \p listen can't be bound.
   ForwardFront(EventLoop &loop, const HostPort &listen, EventLog &log,
                Metrics &metrics);
 
-  /// The node that decides; to be set before the loop runs.
+  /// Sets the node that gets the events; must be called before the loop runs.
   void setNode(ForwardNode &node) { Node = &node; }
-  /// Callers are told not to use their connections again.
+  /// Ends keep-alive: callers are asked not to reuse their connections.
   void beginStop() { Callers.beginStop(); }
-  /// No new connections from here on.
+  /// Stops accepting connections.
   void stopListening() { Callers.stopListening(); }
-  /// \returns whether all callers have their answers: a connection ends when
-  /// its last one is written.
+  /// \returns whether all callers have their answers. After beginStop() a
+  /// connection is closed when its last answer is written.
   bool idle() const { return Callers.channels() == 0; }
 
   void onRequest(CallerKey key, RequestHead head, std::string body,
--- a/packages/daemon/src/LogGate.h
+++ b/packages/daemon/src/LogGate.h
@@ -10,16 +10,16 @@
 
 /// \class LogGateOptions
 struct LogGateOptions {
-  /// Lines of one event that may come together, after a quiet time.
+  /// Maximum number of lines of one event in a burst.
   double Burst = 40;
-  /// Lines of one event a second in the long run. A line costs some twenty
-  /// microseconds: with ten busy events this is 0.4% of a core.
+  /// Maximum long-run rate of one event, in lines per second. A line costs
+  /// about 20 microseconds, so ten events at this rate take 0.4% of a core.
   double PerSecond = 20;
 };
 
 /// \class LogGate
-/// \brief Bounds the lines of each event by a token bucket of its own, and
-/// counts what it leaves out.
+/// \brief Limits the log lines of each event with a token bucket per event, and
+/// counts the omitted lines.
 class LogGate {
 public:
   LogGate() : LogGate(LogGateOptions()) {}
@@ -27,7 +27,7 @@
 
   /// \returns whether a line of \p event may be written now.
   bool take(TimePoint now, const std::string &event);
-  /// \returns how many lines of each event were left out since the last call.
+  /// \returns the number of lines of each event omitted since the last call.
   std::map<std::string, std::uint64_t> takeLeftOut();
 
 private:
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -25,27 +25,27 @@
   prometheus::Family<prometheus::Counter> &Finals =
       prometheus::BuildCounter()
           .Name("pimentofront_requests_total")
-          .Help("Final answers, by kind of request and of answer")
+          .Help("Final answers, by request kind and by answer")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Refusals =
       prometheus::BuildCounter()
           .Name("pimentofront_refusals_total")
-          .Help("Requests that were not run, by reason")
+          .Help("Requests refused without being run, by reason")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Retries =
       prometheus::BuildCounter()
           .Name("pimentofront_attempts_total")
-          .Help("Attempts at hosts, over all requests")
+          .Help("Attempts to run a request on a host, over all requests")
           .Register(Registry);
   prometheus::Family<prometheus::Histogram> &Stalls =
       prometheus::BuildHistogram()
           .Name("pimentofront_load_stall_seconds")
-          .Help("Time that an answered request waited for its adapter")
+          .Help("Time that an answered request waited for its adapter to load")
           .Register(Registry);
   prometheus::Family<prometheus::Histogram> &Latencies =
       prometheus::BuildHistogram()
           .Name("pimentofront_request_seconds")
-          .Help("Time from request to final answer, of answered ones")
+          .Help("Time from arrival to final answer, for answered requests")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Loads =
       prometheus::BuildCounter()
@@ -55,17 +55,18 @@
   prometheus::Family<prometheus::Counter> &Forwarded =
       prometheus::BuildCounter()
           .Name("pimentofront_forward_events_total")
-          .Help("Decisions about requests that are passed on, by event")
+          .Help("Decisions on forwarded requests, by event")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Lost =
       prometheus::BuildCounter()
           .Name("pimentofront_forward_lost_total")
-          .Help("Requests without a backend server's answer, by reason")
+          .Help("Forwarded requests without an answer of a backend server, by "
+                "reason")
           .Register(Registry);
   prometheus::Family<prometheus::Histogram> &ForwardTimes =
       prometheus::BuildHistogram()
           .Name("pimentofront_forward_seconds")
-          .Help("Time from a request's arrival to an event, by route")
+          .Help("Time from a request's arrival to an event, by event and route")
           .Register(Registry);
   prometheus::Family<prometheus::Gauge> &State =
       prometheus::BuildGauge()
@@ -79,7 +80,8 @@
 
 void Metrics::noteFinal(const KindName &kind, const FinalAnswer &answer,
                         Duration took) {
-  // A kind that doesn't exist is the caller's text: it must not become a label.
+  // An unknown kind is arbitrary text from the caller and must not become a
+  // label.
   const bool invalid = answer.Reason == RefusalReason::Invalid;
   State->Finals
       .Add({{"kind", invalid ? "-" : kind.str()},
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -8,7 +8,7 @@
 namespace pimentofront {
 
 /// \class Gauges
-/// \brief Values that are read when the metrics are asked for.
+/// \brief Values that are sampled when the metrics page is requested.
 struct Gauges {
   double Revision = 0;
   double ConfigurationLeaseSeconds = 0;
@@ -17,14 +17,16 @@
   double EngineRunning = 0;
   double EngineWaiting = 0;
   double BatchCapacity = 0;
-  /// Requests a second that the engine takes from all entries; 0 is no limit.
+  /// Requests per second that the engine accepts from all entries together; 0
+  /// if it is not limited.
   double EngineRateLimit = 0;
-  /// Backend servers that ask for this, as far as the entry knows.
+  /// Numbers of backend servers that limit their request rate, are backing off,
+  /// are leaving or are cold, by the last reports that this entry received.
   double LimitedServers = 0;
   double RestingServers = 0;
   double LeavingServers = 0;
   double ColdServers = 0;
-  /// Zones that operators have had evacuated, as far as the entry knows.
+  /// Zones evacuated by operators, by the configuration that this entry has.
   double EvacuatedZones = 0;
   double Leads = 0;
   double PeerBytesSent = 0;
@@ -32,7 +34,7 @@
 };
 
 /// \class Metrics
-/// \brief What the daemon counts, for Prometheus (prometheus-cpp).
+/// \brief The daemon's metrics for Prometheus (prometheus-cpp).
 class Metrics {
 public:
   Metrics();
@@ -40,14 +42,14 @@
   Metrics(const Metrics &) = delete;
   Metrics &operator=(const Metrics &) = delete;
 
-  /// A request had its final answer after \p took.
+  /// Records a request's final answer, \p took after its arrival.
   void noteFinal(const KindName &kind, const FinalAnswer &answer,
                  Duration took);
   void noteLoad(bool succeeded, Duration took);
-  /// Forwarding decided something about a request.
+  /// Records a decision of the forwarding node on a request.
   void noteForward(const ForwardEvent &event);
   void set(const Gauges &gauges);
-  /// \returns all metrics in the text format.
+  /// \returns all metrics in the Prometheus text format.
   std::string text() const;
 
 private:
--- a/packages/daemon/src/OperatorApi.cpp
+++ b/packages/daemon/src/OperatorApi.cpp
@@ -111,10 +111,11 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Status: what all replicas say, put together
+// Status: merges the answers of all replicas
 //===----------------------------------------------------------------------===//
 
-/// Collects the answers of the replicas; the last one sends the response.
+/// Merges the answers of all replicas and sends the response after the last
+/// one. A replica without an answer counts, too, and is listed as unreachable.
 struct StatusCollector {
   ApiCall Call;
   std::size_t Missing = 0;
@@ -209,7 +210,8 @@
     finish();
 }
 
-/// A process that hasn't a zone's last change in force may still send there.
+/// Lists for each zone the processes that have not applied its last change:
+/// they may still send requests to an evacuated zone.
 void StatusCollector::addZones() {
   for (const auto &[name, it] : Copy->records().zones()) {
     v1::Zone *zone = Response.add_zones();
--- a/packages/daemon/src/PipeAppender.cpp
+++ b/packages/daemon/src/PipeAppender.cpp
@@ -9,7 +9,8 @@
 
 void PipeAppender::append(const log4cplus::spi::InternalLoggingEvent &event) {
   std::string line = event.getMessage();
-  // A pipe that is ready takes this much without waiting, and as one piece.
+  // A pipe that polls as writable accepts up to PIPE_BUF bytes atomically and
+  // without blocking.
   if (line.size() >= PIPE_BUF)
     line = line.substr(0, PIPE_BUF - 3) + "\"}";
   line += '\n';
--- a/packages/daemon/src/PipeAppender.h
+++ b/packages/daemon/src/PipeAppender.h
@@ -8,8 +8,8 @@
 namespace pimentofront {
 
 /// \class PipeAppender
-/// \brief Writes lines to a descriptor and never waits for its reader: a line
-/// that finds the pipe full is dropped and counted.
+/// \brief Writes lines to a pipe without ever blocking: if the reader is too
+/// slow and the pipe is full, the line is dropped and counted.
 class PipeAppender : public log4cplus::Appender {
 public:
   explicit PipeAppender(int fd) : Fd(fd) {}
--- a/packages/daemon/src/ServerSentEvents.h
+++ b/packages/daemon/src/ServerSentEvents.h
@@ -8,12 +8,13 @@
 namespace pimentofront {
 
 /// \class ServerSentEvents
-/// \brief Takes the data of server-sent events (WHATWG HTML, 9.2) out of bytes
-/// that arrive in any pieces. Only what engines use: one data line an event.
+/// \brief Incremental parser of server-sent events (WHATWG HTML, 9.2); the
+/// input may be split anywhere. Supports what engines send: one data line per
+/// event; ignores other fields.
 class ServerSentEvents {
 public:
   void feed(std::string_view bytes) { Buffer += bytes; }
-  /// \returns the data of the next event, if there is one.
+  /// \returns the data of the next event, if it has arrived completely.
   std::optional<std::string> next();
 
 private:
