--- a/packages/ctl/src/Client.cpp
+++ b/packages/ctl/src/Client.cpp
@@ -17,8 +17,8 @@
 bool report(const HttpAnswer &answer) {
   if (answer.Ending != HttpEnding::Complete) {
     std::fputs(answer.Ending == HttpEnding::NotSent
-                   ? "no connection: the call was not sent\n"
-                   : "the connection broke off: the call may have been run\n",
+                   ? "cannot connect: the call was not sent\n"
+                   : "the connection was lost: the call may have been run\n",
                stderr);
     return false;
   }
@@ -27,7 +27,7 @@
   return good;
 }
 
-/// Prints the pieces of a stream as they come.
+/// Prints the messages of a stream as they arrive.
 class StreamPrinter {
 public:
   void feed(std::string_view bytes) {
--- a/packages/ctl/src/Client.h
+++ b/packages/ctl/src/Client.h
@@ -7,17 +7,17 @@
 namespace pimentofront {
 
 /// \class Client
-/// \brief Calls the public interface and waits for the answer.
+/// \brief Blocking client of the public API.
 class Client {
 public:
   explicit Client(HostPort address) : Address(std::move(address)) {}
 
-  /// Calls \p method ("Service/Method") with \p request and prints the answer,
-  /// a good one on standard output, an error on standard error.
-  /// \returns whether it was a good one.
+  /// Calls \p method ("Service/Method") with \p request and prints the response
+  /// on standard output or the error on standard error.
+  /// \returns whether the call succeeded.
   bool call(const std::string &method,
             const google::protobuf::Message &request);
-  /// The same for a stream; prints the text as it comes.
+  /// The same for a streaming method; prints the text as it arrives.
   bool stream(const std::string &method,
               const google::protobuf::Message &request);
 
--- a/packages/ctl/src/TimeLine.cpp
+++ b/packages/ctl/src/TimeLine.cpp
@@ -76,7 +76,7 @@
     text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
     if (content.empty())
       continue;
-    // A collector may have put something before the event.
+    // A log collector may have added a prefix to the line.
     const std::size_t begin = content.find('{');
     const Json json = begin == std::string_view::npos
                           ? Json()
@@ -114,10 +114,11 @@
   return text + (it.Details.empty() ? "\n" : " " + it.Details + "\n");
 }
 
-/// What an event says of the request's end, and what to do next.
+/// Explanation of a request's last event, and where to look next. The first
+/// match in Meanings counts, so longer marks stand before their prefixes.
 struct Meaning {
   const char *Event;
-  /// Part of the details that must be there.
+  /// Text that the event's details must contain; empty matches all.
   const char *Mark;
   const char *Sentence;
 };
@@ -131,57 +132,59 @@
     {"request_lost", "why=no_server",
      "refused: no backend server of its service was registered or reachable"},
     {"request_lost", "why=declined, rate_limited",
-     "refused: the servers that could take it name limits that left no room "
-     "for "
-     "it in time; server_feedback lines say which limits"},
+     "refused: the servers that could take it limit their requests, and the "
+     "limits left no capacity for it in time; server_feedback lines say which "
+     "limits"},
     {"request_lost", "why=servers_rest",
-     "refused: all servers of its service had asked this entry for rest; "
+     "refused: all servers of its service had asked this entry to back off; "
      "server_feedback lines say for how long"},
     {"request_lost", "why=zones_outdated",
-     "refused: this entry had no word of the replicas for so long that a zone "
-     "may have been evacuated since; look for replica_state and peer_lost"},
+     "refused: this entry had received nothing from the replicas for so long "
+     "that a zone may have been evacuated since; look for replica_state and "
+     "peer_lost"},
     {"request_lost", "why=no_region",
      "refused: no server of its service is in a region that its route and its "
      "client account allow"},
     {"request_lost", "why=declined",
      "refused: each server or agent that could take it declined; the reason "
-     "stands behind the comma"},
+     "is given after the comma"},
     {"request_lost", "why=timed_out",
-     "its time ran out; without a server it waited for its adapter, with one "
-     "for the server's answer"},
+     "its time ran out; if no server is named it was waiting for its adapter, "
+     "otherwise for the server's answer"},
     {"request_lost", "why=broke_off",
-     "its answer broke off and it could not be sent again; see "
+     "its answer was interrupted and it could not be sent again; see "
      "attempt_broke_off for the server"},
     {"request_lost", "why=quarantined",
-     "backend servers ended under this content (see server_ended and the lines "
-     "with the same content), so none gets it; status lists it, release clears "
-     "it"},
+     "quarantined: backend servers exited while they ran this content (see "
+     "server_ended and the lines with the same content), so it is not sent to "
+     "any; status lists it, release clears it"},
     {"request_lost", "why=on_trial",
-     "a server had ended under the same content, and another attempt at it was "
-     "under way"},
+     "a server had exited while it ran the same content, and another trial of "
+     "that content was in progress"},
     {"request_lost", "why=no_leave",
-     "a server had ended under the same content, and the replicas didn't say "
-     "whether it may be tried; look for replica_state and peer_lost"},
+     "a server had exited while it ran the same content, and the replicas did "
+     "not answer whether it may be tried; look for replica_state and "
+     "peer_lost"},
     {"request_lost", "why=unknown_key",
-     "refused: no client account held its key, or it had none, by the document "
-     "of the revision named; compare with routing_in_force, and see whether an "
-     "account lost a key"},
+     "refused: it had no key, or one that belongs to no client account in the "
+     "document of the revision named; compare with routing_in_force, and check "
+     "whether an account lost a key"},
     {"request_lost", "why=keys_outdated",
-     "refused: this entry had no word of the replicas for longer than a key "
-     "that was taken away may still serve; look for replica_state and "
-     "peer_lost"},
+     "refused: this entry had received nothing from the replicas for longer "
+     "than a revoked key may stay valid; look for replica_state and peer_lost"},
     {"request_lost", "why=over_allotment",
      "refused: its client account had used up its allotment over all entries; "
-     "the account's level, and how long ago the leader was asked, stand at the "
-     "end"},
+     "the account's level, and how long ago the leader was asked, are given at "
+     "the end"},
     {"request_lost", "why=no_allotment",
-     "refused: the leader of the replicas didn't say whether the account's "
-     "allotment has room; look for replica_state and peer_lost"},
-    {"caller_gone", "", "the caller gave it up before the end"},
-    {"request_answered", "status=5", "the backend server answered a failure"},
+     "refused: the leader of the replicas did not answer whether the account's "
+     "allotment has units left; look for replica_state and peer_lost"},
+    {"caller_gone", "", "the caller disconnected or cancelled before the end"},
+    {"request_answered", "status=5",
+     "the backend server answered with an error"},
     {"request_answered", "",
-     "it was answered; answer_began says where the "
-     "time until the first event went"},
+     "it was answered; answer_began says how the time until the first event "
+     "was spent"},
 };
 
 } // namespace
@@ -201,9 +204,9 @@
     if (last->Event == it.Event &&
         last->Details.find(it.Mark) != std::string::npos)
       return text + "=> " + it.Sentence + "\n";
-  return text + "=> its end isn't in these logs: it may be under way, its line "
-                "was one too many (lines_left_out), or the entry ended "
-                "(process_started)\n";
+  return text + "=> its end is not in these logs: it may be in progress, its "
+                "line may have been omitted by the rate limit "
+                "(lines_left_out), or the entry exited (process_started)\n";
 }
 
 std::string TimeLine::toText() const {
--- a/packages/ctl/src/TimeLine.h
+++ b/packages/ctl/src/TimeLine.h
@@ -9,9 +9,9 @@
 namespace pimentofront {
 
 /// \class TimeLineEvent
-/// \brief One event out of some process's log.
+/// \brief An event from the log of one process.
 struct TimeLineEvent {
-  /// Hybrid logical time: the order over all processes.
+  /// Hybrid logical timestamp, which orders the events of all processes.
   std::uint64_t Hlc = 0;
   std::uint64_t Milliseconds = 0;
   std::string Host;
@@ -19,30 +19,31 @@
   std::string Level;
   std::string Event;
   std::string Request;
-  /// The other fields, as "name=value".
+  /// The other fields, as "name=value" separated by spaces.
   std::string Details;
   friend auto operator<=>(const TimeLineEvent &,
                           const TimeLineEvent &) = default;
 };
 
 /// \class TimeLine
-/// \brief The events of all processes in one order.
+/// \brief Merges the events of all processes into one sequence.
 class TimeLine {
 public:
-  /// Takes in the lines of one log. Lines that are no events leave findings.
+  /// Adds the lines of one log. A line that is not an event adds a finding.
   void addLog(const std::string &file, std::string_view text,
               Findings &findings);
-  /// Keeps only the events of one request and those of no request.
+  /// Removes the events of all other requests. Events that belong to no request
+  /// stay.
   void keepRequest(const std::string &request);
-  /// Sorts by hybrid time; to be called after all logs are in.
+  /// Sorts the events by timestamp; must be called after all logs are added.
   void sort();
 
   const std::vector<TimeLineEvent> &events() const { return Events; }
   std::string toText() const;
-  /// \returns the lines of one request in order and, in a sentence, what they
-  /// say of its end; empty if no line names it.
+  /// \returns the lines of one request in order, and a sentence on how and why
+  /// it ended; empty if no line names the request. Needs sort() before.
   std::string explain(const std::string &request) const;
-  /// \returns one page that needs nothing else: a column a process.
+  /// \returns a self-contained HTML page with a column for each host.
   std::string toPage() const;
 
 private:
--- a/packages/ctl/src/main.cpp
+++ b/packages/ctl/src/main.cpp
@@ -18,23 +18,27 @@
 constexpr const char *Help =
     "Usage: pimentofrontctl [OPTIONS] COMMAND [ARGUMENTS]\n"
     "\n"
-    "Changes (sent again under one --command-id they get the first outcome):\n"
+    "Changes (repeated with the same --command-id, they return the first "
+    "outcome):\n"
     "  create-adapter NAME BASE-MODEL\n"
     "  create-version NAME NUMBER SOURCE\n"
-    "  declare-live NAME [NUMBER...]     the live versions; none retires it\n"
+    "  declare-live NAME [NUMBER...]     the live versions; none retires the "
+    "adapter\n"
     "  set-kind NAME                     with --weight, --window-ms, --limit,\n"
     "                                    --caller-limit\n"
-    "  drain HOST, undrain HOST          take a backend server out, or back\n"
-    "  evacuate ZONE, restore ZONE       take a zone's servers out, or back\n"
-    "  release CONTENT                   clear a request under which servers "
-    "ended\n"
-    "  bootstrap                         make this replica the group, once\n"
-    "  remove-replica HOST               take a replica out for good\n"
-    "Questions:\n"
+    "  drain HOST, undrain HOST          take a backend server out, or back "
+    "in\n"
+    "  evacuate ZONE, restore ZONE       the same for all servers of a zone\n"
+    "  release CONTENT                   release a watched or quarantined "
+    "request\n"
+    "  bootstrap                         form the replica group with this "
+    "replica, once\n"
+    "  remove-replica HOST               remove a replica permanently\n"
+    "Queries:\n"
     "  adapter NAME, kinds, status, accounts\n"
     "  timeline FILE...                  merge logs; with --request, --page\n"
-    "  explain REQUEST FILE...           a request's lines, and its cause\n"
-    "Calls, to try a deployment:\n"
+    "  explain REQUEST FILE...           a request's events, and how it ended\n"
+    "Calls, to test a deployment:\n"
     "  generate ADAPTER PROMPT           with --kind, --version, "
     "--max-tokens,\n"
     "                                    --request, --caller\n"
@@ -42,11 +46,11 @@
     "                                    --issued-at-ms, --idempotent\n"
     "\n"
     "Options:\n"
-    "  -e, --entry IP:PORT    the process to ask (default 127.0.0.1:8080)\n"
-    "  -o, --operator NAME    who changes (default: the user's name)\n"
-    "  -i, --command-id ID    default: a random one\n"
-    "  -b, --builds-on N      revision of the record that the change builds "
-    "on\n"
+    "  -e, --entry IP:PORT    the process to call (default 127.0.0.1:8080)\n"
+    "  -o, --operator NAME    recorded author of a change (default: $USER)\n"
+    "  -i, --command-id ID    id of a change (default: random)\n"
+    "  -b, --builds-on N      revision of the record that the change is "
+    "based on\n"
     "  -h, --help, -V, --version-of-program\n";
 
 constexpr int Good = 0;
@@ -157,7 +161,8 @@
   return exitOf(client.call("Operator/SetKind", request));
 }
 
-/// Calls an operator's method on one thing, which \p setName puts in.
+/// Calls an operator method on one named object; \p setName puts the name into
+/// the request.
 template <class Request>
 int changeOne(Client &client, const Arguments &arguments, const char *method,
               void (*setName)(Request &, const std::string &)) {
@@ -225,7 +230,7 @@
     const std::string &name = arguments.Words[i];
     std::ifstream file(name);
     if (!file)
-      findings.add(name, "can't be read");
+      findings.add(name, "cannot be read");
     std::stringstream text;
     text << file.rdbuf();
     line.addLog(name, text.str(), findings);
@@ -242,7 +247,7 @@
   const std::string text = line.explain(arguments.Words[1]);
   if (text.empty())
     std::fprintf(stderr,
-                 "no line names request %s (%zu lines couldn't be "
+                 "no line names request %s (%zu lines could not be "
                  "read)\n",
                  arguments.Words[1].c_str(), findings.items().size());
   std::fputs(text.c_str(), stdout);
@@ -328,7 +333,7 @@
   return usage();
 }
 
-/// Options without a short form.
+/// Codes of the options without a short form, above all character codes.
 enum LongOption {
   WeightOption = 256,
   WindowOption,
@@ -344,7 +349,8 @@
   PageOption,
 };
 
-/// \returns whether the value of the option is a proper one.
+/// Stores the value of an option in \p arguments.
+/// \returns whether the option is known and its value valid.
 bool takeOption(int option, const char *value, Arguments &arguments) {
   switch (option) {
   case 'e':
--- a/packages/daemon/src/Settings.cpp
+++ b/packages/daemon/src/Settings.cpp
@@ -46,7 +46,9 @@
   prefix.Spread = reader.real("spread", prefix.Spread, 0.01, 100);
   prefix.SpillChoices = static_cast<std::uint32_t>(
       reader.integer("spill_choices", prefix.SpillChoices, 0, 64));
-  // The count of entries is some seconds old when one of them starts or ends.
+  // Each entry takes its part of the reserve by the number of entries, which is
+  // a few seconds out of date after an entry starts or stops. The margin keeps
+  // the sum of the parts within the configured reserve meanwhile.
   constexpr double SafeShare = 0.8;
   forward.RetryReserve *= SafeShare;
   forward.Servers.ZonePreference =
@@ -96,9 +98,11 @@
     reader.fault("engine_interface", "expected completions or orders");
   readServices(reader, settings);
   if (settings.EngineAddress.empty() != agent.BaseModel.empty())
-    reader.fault("engine", "an engine and its base_model go together");
+    reader.fault("engine",
+                 "engine and base_model go together: set both or neither");
   if (settings.EngineAddress.empty() && settings.Services.empty())
-    reader.fault("services", "an agent has an engine or services");
+    reader.fault("services",
+                 "an agent needs an engine or at least one service");
   if (popularity.HalfLife <= Duration::zero())
     reader.fault("popularity_half_life_ms", "expected more than 0");
   if (popularity.SessionHalfLife <= Duration::zero())
@@ -106,8 +110,8 @@
   reader.finish();
 }
 
-/// Loads at one time at first, where what the store takes is measured: fewer
-/// would serve a dozen agents too late.
+/// Initial number of concurrent loads when the store's capacity is measured
+/// instead of configured. With fewer, a dozen agents get their loads too late.
 constexpr std::uint32_t LeastMeasuredLoads = 8;
 
 void readReplica(SettingsReader reader, Settings &settings) {
@@ -120,7 +124,7 @@
   replica.Log.WantedVoters = static_cast<std::uint32_t>(
       reader.integer("wanted_voters", replica.Log.WantedVoters, 1, 9));
   if (reader.has("tolerated_losses")) {
-    // A majority must outlive them.
+    // A majority of the voters must remain after that many losses.
     const auto losses =
         static_cast<std::uint32_t>(reader.integer("tolerated_losses", 1, 0, 4));
     replica.Log.WantedVoters = 2 * losses + 1;
@@ -130,7 +134,7 @@
       reader.milliseconds("heartbeat_ms", replica.Log.HeartbeatPeriod);
   replica.Log.ElectionTimeout =
       reader.milliseconds("election_timeout_ms", replica.Log.ElectionTimeout);
-  // The last of them may take a call's time on its way.
+  // The last repetition may be in transit for up to the duration of a call.
   constexpr Duration CallTime = std::chrono::seconds(1);
   replica.OrdersResentFor =
       CallTime + reader.milliseconds("orders_resent_ms",
@@ -142,7 +146,8 @@
   allotments.Overshoot =
       reader.real("allotment_overshoot", allotments.Overshoot, 0, 10);
   allotments.Slack = reader.real("allotment_slack", allotments.Slack, 0, 1e12);
-  // A lower limit is to be in force one window after it is known.
+  // A lowered limit has to be in force one window after it is known, so a
+  // lease lasts half a window at most.
   allotments.Lease = std::min(allotments.Lease, allotments.Window / 2);
   replica.CompactAfter = reader.integer("compact_after_entries",
                                         replica.CompactAfter, 16, MaxCount);
@@ -159,10 +164,11 @@
     settings.Zones[ZoneName(zone)] = RegionName(region);
   settings.Forward.Forward.Regions = settings.Zones;
   if (!mayExist(settings.Zones, settings.Zone))
-    reader.fault("zones", "expected the host's own zone among them");
+    reader.fault("zones", "expected a list that contains this host's zone");
 }
 
-/// The addresses name the replicas' hosts by another port of theirs.
+/// Replaces the port of each address, for lists that name the replicas' hosts
+/// with the port of another service.
 void usePort(std::uint16_t port, std::vector<std::string> &addresses) {
   for (std::string &it : addresses)
     it = it.substr(0, it.rfind(':') + 1) + std::to_string(port);
@@ -171,13 +177,13 @@
 void readTimes(SettingsReader &reader, Settings &settings) {
   ConfigurationCopyOptions &copy = settings.Entry.Configuration;
   copy.Lease = reader.milliseconds("configuration_lease_ms", copy.Lease);
-  // A confirmation is renewed well before it runs out.
+  // The configuration's confirmation is renewed well before its lease expires.
   constexpr int ProbesInLease = 4;
   settings.Entry.ProbePeriod =
       reader.milliseconds("probe_period_ms", copy.Lease / ProbesInLease);
   settings.Replica.Members.Lease =
       reader.milliseconds("member_lease_ms", settings.Replica.Members.Lease);
-  // Two in sequence may get lost, and the next one may come late.
+  // The lease survives two lost heartbeats in a row and a late third one.
   constexpr double HeartbeatsInLease = 10.0 / 3;
   const Duration heartbeat =
       reader.milliseconds("server_heartbeat_ms", Duration::zero());
@@ -190,7 +196,8 @@
       reader.milliseconds("stop_notice_ms", settings.StopNotice);
   settings.StopLimit = reader.milliseconds("stop_limit_ms", settings.StopLimit);
   if (reader.has("grace_s")) {
-    // Whoever ends this process after its grace time must not come first.
+    // The stop has to finish before the platform kills the process at the end
+    // of its grace time.
     constexpr double Reserve = 0.3;
     constexpr double Longest = 3600;
     const double grace = reader.real("grace_s", 1, 1, Longest);
@@ -255,8 +262,9 @@
     readReplica(replica, settings);
   if (!settings.IsEntry && !settings.IsAgent && !settings.IsReplica &&
       !settings.IsForward)
-    reader.fault("entry", "a daemon plays at least one part: entry, forward, "
-                          "agent or replica");
+    reader.fault("entry",
+                 "at least one role is required: entry, forward, agent "
+                 "or replica");
   if (settings.Replicas.empty())
     reader.fault("replicas", "the address of at least one replica is required");
   if (!settings.HttpAddress.empty() &&
--- a/packages/daemon/src/Settings.h
+++ b/packages/daemon/src/Settings.h
@@ -5,23 +5,24 @@
 
 namespace pimentofront {
 
-/// A plain service beside which an agent runs.
+/// A plain service on an agent's host, and the address at which the agent calls
+/// it.
 struct ServiceAddress {
   ServiceName Name;
   std::string Address;
 };
 
 /// \class Settings
-/// \brief All that the daemon is told; docs/SETTINGS.md is the reference.
+/// \brief The daemon's settings; docs/SETTINGS.md is the reference.
 struct Settings {
   HostName Host;
   ZoneName Zone;
-  /// All availability zones with their regions; none: they aren't known.
+  /// All availability zones with their regions; empty if they are not known.
   ZoneRegions Zones;
   std::string HttpAddress;
   std::string PeerAddress;
-  /// Where the process listens, when others reach it by another address: behind
-  /// address translation, or a proxy.
+  /// Address on which the process listens for peers. Differs from PeerAddress
+  /// behind address translation or a proxy.
   std::string PeerListenAddress;
   std::vector<std::string> Replicas;
 
@@ -30,7 +31,7 @@
   bool IsReplica = false;
   bool IsForward = false;
 
-  /// "-" is standard output.
+  /// Path of the log file, or "-" for standard output.
   std::string LogFile = "-";
   std::string LogLevel = "info";
 
@@ -40,14 +41,16 @@
   Duration CallerTimeout = std::chrono::seconds(30);
   std::size_t CallerBufferBytes = std::size_t(1) << 20;
 
-  /// Where callers' requests that are passed on as they are come in.
+  /// Address on which the process accepts requests to be forwarded unchanged.
   std::string ForwardAddress;
   ForwardNodeOptions Forward;
   PrefixRoutingOptions Prefix;
 
   AgentNodeOptions Agent;
   std::string EngineAddress;
-  /// The engine takes orders, and entries send it requests themselves.
+  /// The agent loads adapters by orders to the engine, and entries send
+  /// requests to the engine directly. Otherwise the agent runs requests through
+  /// the completions API.
   bool EngineTakesOrders = false;
   Duration EngineProbePeriod = std::chrono::milliseconds(500);
   std::vector<ServiceAddress> Services;
@@ -55,16 +58,18 @@
 
   ReplicaNodeOptions Replica;
   std::string DataFolder;
-  /// The whole system starts for the first time: the first of the replicas
-  /// named forms the group, if its folder is empty.
+  /// Set for the first start of the whole system: the replica with the smallest
+  /// address forms the group if its data folder is empty.
   bool Bootstrap = false;
 
-  /// Between becoming unready and refusing: the balancer turns away.
+  /// Time between reporting "not ready" and refusing requests, in which the
+  /// load balancer stops sending requests to this process.
   Duration StopNotice = std::chrono::milliseconds(500);
-  /// A graceful stop that takes longer is ended, and logged.
+  /// Maximum duration of a graceful stop; a longer one is cut short and logged.
   Duration StopLimit = std::chrono::minutes(5);
 
-  /// Reads and checks \p text; all faults are collected in \p findings.
+  /// Parses and checks \p text. \p findings gets all faults, not just the
+  /// first.
   static Settings parse(const std::string &file, std::string_view text,
                         Findings &findings);
 };
--- a/packages/daemon/src/SettingsReader.cpp
+++ b/packages/daemon/src/SettingsReader.cpp
@@ -7,7 +7,7 @@
 
 using Json = nlohmann::json;
 
-/// Counts the lines that the parser has read.
+/// Input iterator that counts the lines that the parser has read.
 struct CountingIterator {
   using iterator_category = std::input_iterator_tag;
   using value_type = char;
@@ -38,7 +38,7 @@
   }
 };
 
-/// Builds the document and notes the line of each value.
+/// Builds the document and records the line of each value.
 class LineNotingReader : public nlohmann::detail::json_sax_dom_parser<Json> {
 public:
   using Base = nlohmann::detail::json_sax_dom_parser<Json>;
@@ -120,7 +120,7 @@
   const CountingIterator begin{text.data(), &line};
   const CountingIterator end{text.data() + text.size(), &line};
   if (!Json::sax_parse(begin, end, &reader))
-    findings.add(file + ":" + std::to_string(line), "this isn't proper JSON");
+    findings.add(file + ":" + std::to_string(line), "this is not proper JSON");
   else if (!document.Root.is_object())
     findings.add(file + ":1", "expected an object");
   return document;
@@ -177,7 +177,7 @@
 std::string SettingsReader::requiredText(const std::string &key) {
   const std::string result = text(key, "");
   if (result.empty() && (!has(key) || Object->at(key).is_string()))
-    fault(key, "a text is required");
+    fault(key, "a non-empty string is required");
   return result;
 }
 
@@ -251,7 +251,7 @@
   if (!it)
     return result;
   if (!it->is_array()) {
-    fault(key, "expected a list of addresses");
+    fault(key, "expected an array of addresses");
     return result;
   }
   for (std::size_t i = 0; i < it->size(); ++i) {
@@ -270,7 +270,7 @@
   if (!it)
     return result;
   if (!it->is_object()) {
-    fault(key, "expected an object of texts");
+    fault(key, "expected an object with string values");
     return result;
   }
   for (const auto &[name, value] : it->items()) {
@@ -288,7 +288,7 @@
   if (!it)
     return result;
   if (!it->is_array()) {
-    fault(key, "expected a list of objects");
+    fault(key, "expected an array of objects");
     return result;
   }
   for (std::size_t i = 0; i < it->size(); ++i)
--- a/packages/daemon/src/SettingsReader.h
+++ b/packages/daemon/src/SettingsReader.h
@@ -10,14 +10,14 @@
 namespace pimentofront {
 
 /// \class SettingsDocument
-/// \brief A JSON document that knows on which line each value stands.
+/// \brief A parsed JSON document with the line number of each value.
 struct SettingsDocument {
   std::string File;
   nlohmann::json Root;
-  /// Line of each value, by JSON pointer.
+  /// Line number of each value, by its JSON pointer.
   std::map<std::string, std::size_t> Lines;
 
-  /// Reads \p text; a document that isn't JSON leaves a finding.
+  /// Parses \p text; adds a finding if it is not valid JSON or not an object.
   static SettingsDocument parse(const std::string &file, std::string_view text,
                                 Findings &findings);
   /// \returns "file:line: /pointer".
@@ -25,8 +25,9 @@
 };
 
 /// \class SettingsReader
-/// \brief Takes values out of one object of a document. All faults go to the
-/// findings; keys that nobody asked for are faults, too.
+/// \brief Reads and checks the values of one object of a document. A value of
+/// the wrong type or out of range adds a finding, and the fallback is returned.
+/// Each key that is never read is a finding, too; see finish().
 class SettingsReader {
 public:
   SettingsReader(const SettingsDocument &document, std::string pointer,
@@ -35,9 +36,9 @@
   bool has(const std::string &key) const;
   std::string text(const std::string &key, const std::string &fallback);
   std::string requiredText(const std::string &key);
-  /// \returns all pairs of an object that holds texts only.
+  /// \returns the members of an object; each value must be a string.
   std::map<std::string, std::string> texts(const std::string &key);
-  /// "ip:port".
+  /// \returns an address as "ip:port", or "" if it is missing.
   std::string address(const std::string &key, bool required);
   std::uint64_t integer(const std::string &key, std::uint64_t fallback,
                         std::uint64_t least, std::uint64_t most);
@@ -47,10 +48,10 @@
                         Duration most = std::chrono::hours(1));
   bool flag(const std::string &key, bool fallback);
   std::vector<std::string> addresses(const std::string &key);
-  /// \returns readers of the objects in a list.
+  /// \returns a reader for each object in a list.
   std::vector<SettingsReader> objects(const std::string &key);
   SettingsReader object(const std::string &key);
-  /// Reports the keys that were not asked for.
+  /// Adds a finding for each key of the object that was never read.
   void finish();
   void fault(const std::string &key, const std::string &message);
 
--- a/packages/daemon/src/main.cpp
+++ b/packages/daemon/src/main.cpp
@@ -15,18 +15,18 @@
 constexpr const char *Help =
     "Usage: pimentofrontd --settings FILE [--check-settings]\n"
     "\n"
-    "The daemon of pimentofront: an entry, an agent beside a backend server, "
-    "a\n"
-    "replica of the system's state, or several of them, as FILE says.\n"
+    "The daemon of pimentofront. FILE names its roles, one or several: entry,\n"
+    "forward, agent beside a backend server, or replica of the system's "
+    "state.\n"
     "\n"
     "  -s, --settings FILE    settings in JSON; docs/SETTINGS.md\n"
-    "  -c, --check-settings   check the settings, report all faults, and end\n"
-    "  -h, --help             this text\n"
-    "  -V, --version          the version\n"
+    "  -c, --check-settings   check the settings, report all faults, and exit\n"
+    "  -h, --help             print this help\n"
+    "  -V, --version          print the version\n"
     "\n"
-    "Exit codes: 0 good, 2 command line, 3 settings, 4 address, 5 data "
-    "folder.\n"
-    "SIGTERM stops gracefully, SIGHUP opens the log file anew.\n";
+    "Exit codes: 0 success, 2 invalid command line, 3 invalid settings,\n"
+    "4 address can't be bound, 5 unusable data folder.\n"
+    "SIGTERM stops gracefully, SIGHUP reopens the log file.\n";
 
 struct Arguments {
   std::string SettingsFile;
@@ -38,7 +38,8 @@
 } // namespace
 
 int main(int argc, char **argv) {
-  // Without this the library keeps large buffers that were freed.
+  // A fixed threshold makes malloc return large freed buffers to the operating
+  // system; the default one grows and keeps them in the heap.
   constexpr int LargeBuffer = 128 * 1024;
   mallopt(M_MMAP_THRESHOLD, LargeBuffer);
   const option options[] = {{"settings", required_argument, nullptr, 's'},
@@ -72,7 +73,8 @@
   }
   std::ifstream file(arguments.SettingsFile);
   if (!file) {
-    std::fprintf(stderr, "%s: can't be read\n", arguments.SettingsFile.c_str());
+    std::fprintf(stderr, "%s: cannot be read\n",
+                 arguments.SettingsFile.c_str());
     return exitWith(ExitCode::Settings);
   }
   std::stringstream text;
@@ -85,14 +87,14 @@
     return exitWith(ExitCode::Settings);
   }
   if (arguments.CheckOnly) {
-    std::puts("settings are good");
+    std::puts("the settings are valid");
     return exitWith(ExitCode::Good);
   }
   Daemon daemon(settings);
   const ExitCode code = daemon.run();
-  // All that must survive is synced and all answers are sent. The log library
-  // would wait for its idle thread, and a process that doesn't end isn't
-  // started anew.
+  // Exits without destructors: persistent data is synced and all answers are
+  // sent, but log4cplus would wait for its idle thread at exit, and a process
+  // that hangs there would not be restarted.
   std::fflush(nullptr);
   std::_Exit(static_cast<int>(code));
 }
