--- a/bench/LoadMain.cpp
+++ b/bench/LoadMain.cpp
@@ -1,7 +1,7 @@
-//===- LoadMain.cpp - Requests a second and added latency -------*- C++ -*-===//
+//===- LoadMain.cpp - Throughput and added latency --------------*- C++ -*-===//
 ///
-/// Sends generate calls, a fixed number in flight, either through an entry or
-/// straight to an engine, and prints requests a second and latencies.
+/// Sends generate calls with a fixed number in flight, through an entry or
+/// directly to an engine, and prints requests per second and latencies.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -38,7 +38,7 @@
                        part * static_cast<double>(Latencies.size() - 1))] *
                        1000;
     };
-    std::printf("%s %3d in flight: %6.0f requests a second, median %.3f ms, "
+    std::printf("%s %3d in flight: %6.0f requests per second, median %.3f ms, "
                 "p95 %.3f ms, p99 %.3f ms, %d failed\n",
                 Direct ? "direct" : "entry ", Parallel,
                 static_cast<double>(Latencies.size()) / seconds, at(0.5),
--- a/bench/RecoveryMain.cpp
+++ b/bench/RecoveryMain.cpp
@@ -1,8 +1,9 @@
-//===- RecoveryMain.cpp - Times of recovery, in virtual time ----*- C++ -*-===//
+//===- RecoveryMain.cpp - Recovery times in virtual time --------*- C++ -*-===//
 ///
-/// How long there is no leader after a kill and after a silent cut, and how
-/// long an accepted change takes to be in force everywhere. The times are those
-/// of the protocol and the links' delays; processor time isn't in them.
+/// Simulates replica groups and measures the time without a leader after the
+/// leader is killed or its links drop all packets, and the time from a change's
+/// acceptance until it is in force at all entries. The times contain the
+/// protocol's timeouts and the links' delays, but no processor time.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -19,7 +20,7 @@
 
 constexpr Duration Step = 10ms;
 
-/// Three replicas in three zones and some entries.
+/// A simulated group of three replicas in three zones, and some entries.
 struct Group {
   Group(std::uint64_t seed, int entries) : Place({.Seed = seed}) {
     const std::vector<std::string> addresses = {"n0", "n1", "n2"};
@@ -48,7 +49,8 @@
     Place.runUntil(Place.now() + 9s);
   }
 
-  /// \returns the time until \p done, in seconds.
+  /// Runs the simulation until \p done returns true, for 60 s at most.
+  /// \returns the elapsed virtual time in seconds.
   template <class Done> double until(Done &&done) {
     const TimePoint begin = Place.now();
     while (!done() && Place.now() < begin + 60s)
@@ -61,7 +63,7 @@
 
 void print(const char *what, std::vector<double> times) {
   std::ranges::sort(times);
-  std::printf("%-52s median %.2f s, most %.2f s (%zu runs)\n", what,
+  std::printf("%-52s median %.2f s, max %.2f s (%zu runs)\n", what,
               times[times.size() / 2], times.back(), times.size());
 }
 
@@ -82,7 +84,8 @@
   });
 }
 
-/// \returns the time from acceptance until all entries have it in force.
+/// \returns the time in seconds from a change's acceptance until it is in force
+/// at all entries.
 double spread(std::uint64_t seed, int entries, bool leaderDies) {
   Group group(seed, entries);
   WorldProcess &first = group.Place.process(HostName("e0"));
@@ -110,8 +113,8 @@
     std::vector<double> times;
     for (std::uint64_t seed = 1; seed <= Runs; ++seed)
       times.push_back(withoutLeader(seed, cut));
-    print(cut ? "without a leader after a silent cut"
-              : "without a leader after a kill",
+    print(cut ? "no leader after its links drop all packets"
+              : "no leader after the leader is killed",
           times);
   }
   for (const int entries : {10, 200})
@@ -121,7 +124,7 @@
         times.push_back(spread(seed, entries, dies));
       const std::string what = "accepted to in force, " +
                                std::to_string(entries) + " entries" +
-                               (dies ? ", the leader dies" : "");
+                               (dies ? ", leader killed" : "");
       print(what.c_str(), times);
     }
 }
--- a/bench/SlopesMain.cpp
+++ b/bench/SlopesMain.cpp
@@ -1,9 +1,9 @@
-//===- SlopesMain.cpp - What each role costs, by size -----------*- C++ -*-===//
+//===- SlopesMain.cpp - Cost of each role by size ---------------*- C++ -*-===//
 ///
-/// Measures state, message sizes and processor time of the roles at several
-/// sizes and fits a line to each: cost = base + slope x size. The figures of
-/// docs/CAPACITY.md are made of these slopes. With "--make-folder DIR N
-/// ADDRESS" it writes a replica's data folder with N adapters instead.
+/// Measures memory, message sizes and processor time of each role at several
+/// sizes and fits a line to each: cost = base + slope x size. docs/CAPACITY.md
+/// computes its figures from these slopes. With "--make-folder DIR N ADDRESS"
+/// the program instead writes a replica's data folder with N adapters.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// \returns processor time of this process, in microseconds.
+/// \returns the processor time of this process in microseconds.
 double processorMicros() {
   timespec ts{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &ts);
@@ -38,7 +38,8 @@
   double Cost = 0;
 };
 
-/// Least squares; prints base, slope and the largest deviation from the line.
+/// Fits a line by least squares; prints its base, its slope and the largest
+/// deviation of a point.
 void printFit(const char *what, const char *unit,
               const std::vector<Point> &points) {
   const auto n = static_cast<double>(points.size());
@@ -80,7 +81,8 @@
           .BatchCapacity = 16};
 }
 
-/// Runs \p action over and over for a while. \returns microseconds a call.
+/// Repeats \p action for at least 200 ms of processor time.
+/// \returns the mean processor time per call in microseconds.
 template <class Action> double timeOf(Action &&action) {
   constexpr double EnoughMicros = 200'000;
   std::uint64_t calls = 0;
@@ -146,7 +148,7 @@
   const double before = heapBytes();
   for (std::size_t i = 0; i < 8192; ++i)
     routing.learn({adapterRecord(i).Name, 1}, HostName("worker-1"), true);
-  std::printf("%-46s %.0f B\n", "hints of an entry at their limit (8192)",
+  std::printf("%-46s %.0f B\n", "hints of an entry at their maximum (8192)",
               heapBytes() - before);
 }
 
@@ -252,7 +254,7 @@
 // Replica
 //===----------------------------------------------------------------------===//
 
-/// Counts what is sent, encoded as on the wire.
+/// Counts the bytes of sent messages, encoded as on the wire.
 class CountingTransport : public Transport {
 public:
   LinkId open(const std::string &, LinkPurpose) override { return 1; }
@@ -386,8 +388,8 @@
       times.push_back(took.count());
     }
     std::ranges::sort(times);
-    std::printf("disk: %3d entries and a sync%21s median %.3f ms, p99 %.3f ms, "
-                "%.0f entries a second\n",
+    std::printf("disk: %3d entries per sync%23s median %.3f ms, p99 %.3f ms, "
+                "%.0f entries per second\n",
                 batch, "", times[50], times[98], batch / times[50] * 1000);
   }
   fs::remove_all(folder);
--- a/cmake/Pimentofront.cmake
+++ b/cmake/Pimentofront.cmake
@@ -1,4 +1,5 @@
-# Build settings shared by all packages, and the two helpers that declare them.
+# Build settings shared by all packages, and the functions that declare and
+# install packages.
 include(GNUInstallDirs)
 include(CMakePackageConfigHelpers)
 find_package(PkgConfig REQUIRED)
@@ -11,11 +12,12 @@
 set(CMAKE_EXPORT_COMPILE_COMMANDS ON)
 set(CMAKE_POSITION_INDEPENDENT_CODE ON)
 add_compile_options(-Wall -Wextra -Wno-missing-field-initializers -Wno-cast-function-type -Wno-maybe-uninitialized)
-# Preconditions at the public edge stay on in every build type.
+# assert() stays enabled in the default build type, since the public API checks
+# its preconditions with it.
 string(REPLACE "-DNDEBUG" "" CMAKE_CXX_FLAGS_RELWITHDEBINFO "${CMAKE_CXX_FLAGS_RELWITHDEBINFO}")
 
-# pimentofront_package(<name> SOURCES ... LINK ...): one library target
-# pimentofront::<name>, its headers in ./pimentofront, installed and exported.
+# pimentofront_package(<name> SOURCES ... LINK ...): declares the library target
+# pimentofront::<name>, whose public headers are in ./pimentofront.
 function(pimentofront_package name)
   cmake_parse_arguments(arg "" "" "SOURCES;LINK" ${ARGN})
   add_library(pimentofront_${name} STATIC ${arg_SOURCES})
@@ -27,7 +29,8 @@
   target_link_libraries(pimentofront_${name} PUBLIC ${arg_LINK})
 endfunction()
 
-# pimentofront_export(<name>): installs a package that others may embed.
+# pimentofront_export(<name>): installs and exports a package for use by other
+# projects.
 function(pimentofront_export name)
   install(TARGETS pimentofront_${name} EXPORT pimentofrontTargets
     ARCHIVE DESTINATION ${CMAKE_INSTALL_LIBDIR})
