--- a/bench/LoadMain.cpp
+++ b/bench/LoadMain.cpp
@@ -22,7 +22,7 @@
   LoadGenerator(const HostPort &target, bool direct, int inFlight, int total,
                 std::string adapter)
       : Target(target), Direct(direct), InFlight(inFlight), Total(total),
-        Parallel(inFlight), Adapter(std::move(adapter)), Client(Loop) {}
+        Concurrency(inFlight), Adapter(std::move(adapter)), Client(Loop) {}
 
   void run() {
     const TimePoint begin = Loop.now();
@@ -40,7 +40,7 @@
     };
     std::printf("%s %3d in flight: %6.0f requests per second, median %.3f ms, "
                 "p95 %.3f ms, p99 %.3f ms, %d failed\n",
-                Direct ? "direct" : "entry ", Parallel,
+                Direct ? "direct" : "entry ", Concurrency,
                 static_cast<double>(Latencies.size()) / seconds, at(0.5),
                 at(0.95), at(0.99), Failed);
   }
@@ -81,7 +81,7 @@
   bool Direct;
   int InFlight;
   int Total;
-  int Parallel;
+  int Concurrency;
   std::string Adapter;
   EventLoop Loop;
   HttpClient Client;
--- a/bench/RecoveryMain.cpp
+++ b/bench/RecoveryMain.cpp
@@ -22,7 +22,7 @@
 
 /// A simulated group of three replicas in three zones, and some entries.
 struct Group {
-  Group(std::uint64_t seed, int entries) : Place({.Seed = seed}) {
+  Group(std::uint64_t seed, int entries) : Simulation({.Seed = seed}) {
     const std::vector<std::string> addresses = {"n0", "n1", "n2"};
     for (int i = 0; i < 3; ++i) {
       const HostName host("n" + std::to_string(i));
@@ -31,7 +31,7 @@
       spec.Replica.Log.Host = host;
       spec.Replica.Log.Address = host.str();
       spec.Replica.Others = addresses;
-      Place.start(Place.add(spec));
+      Simulation.start(Simulation.add(spec));
     }
     for (int i = 0; i < entries; ++i) {
       const HostName host("e" + std::to_string(i));
@@ -42,23 +42,23 @@
       spec.MakeRouting = [] {
         return std::make_unique<AffinityRouting>(AffinityOptions{});
       };
-      Place.start(Place.add(spec));
+      Simulation.start(Simulation.add(spec));
     }
-    Place.runUntil(Place.now() + 1s);
-    Place.process(HostName("n0")).Replica->bootstrap(Place.now());
-    Place.runUntil(Place.now() + 9s);
+    Simulation.runUntil(Simulation.now() + 1s);
+    Simulation.process(HostName("n0")).Replica->bootstrap(Simulation.now());
+    Simulation.runUntil(Simulation.now() + 9s);
   }
 
   /// Runs the simulation until \p done returns true, for 60 s at most.
   /// \returns the elapsed virtual time in seconds.
   template <class Done> double until(Done &&done) {
-    const TimePoint begin = Place.now();
-    while (!done() && Place.now() < begin + 60s)
-      Place.runUntil(Place.now() + Step);
-    return toSeconds(Place.now() - begin);
+    const TimePoint begin = Simulation.now();
+    while (!done() && Simulation.now() < begin + 60s)
+      Simulation.runUntil(Simulation.now() + Step);
+    return toSeconds(Simulation.now() - begin);
   }
 
-  World Place;
+  World Simulation;
 };
 
 void print(const char *what, std::vector<double> times) {
@@ -67,41 +67,44 @@
               times[times.size() / 2], times.back(), times.size());
 }
 
-double withoutLeader(std::uint64_t seed, bool cut) {
+double timeWithoutLeader(std::uint64_t seed, bool cut) {
   Group group(seed, 0);
-  WorldProcess *former = group.Place.leader();
+  WorldProcess *former = group.Simulation.leader();
   if (!cut)
-    group.Place.kill(*former);
-  for (WorldProcess *it : group.Place.processes()) {
+    group.Simulation.kill(*former);
+  for (WorldProcess *it : group.Simulation.processes()) {
     if (!cut || it == former)
       continue;
-    group.Place.cut(former->Spec.Host, it->Spec.Host);
-    group.Place.cut(it->Spec.Host, former->Spec.Host);
+    group.Simulation.cut(former->Spec.Host, it->Spec.Host);
+    group.Simulation.cut(it->Spec.Host, former->Spec.Host);
   }
   return group.until([&] {
-    const WorldProcess *it = group.Place.leader();
+    const WorldProcess *it = group.Simulation.leader();
     return it && it != former;
   });
 }
 
 /// \returns the time in seconds from a change's acceptance until it is in force
 /// at all entries.
-double spread(std::uint64_t seed, int entries, bool leaderDies) {
+double timeToApply(std::uint64_t seed, int entries, bool leaderDies) {
   Group group(seed, entries);
-  WorldProcess &first = group.Place.process(HostName("e0"));
+  WorldProcess &first = group.Simulation.process(HostName("e0"));
   Revision accepted = 0;
-  group.Place.command(first,
-                      {.Id = CommandId("c"),
-                       .Operator = OperatorName("o"),
-                       .Body = SetKind{{.Name = KindName("k")}}},
-                      [&](const auto &outcome) { accepted = outcome->At; });
+  group.Simulation.command(
+      first,
+      {.Id = CommandId("c"),
+       .Operator = OperatorName("o"),
+       .Body = SetKind{{.Name = KindName("k")}}},
+      [&](const auto &outcome) { accepted = outcome->At; });
   group.until([&] { return accepted != 0; });
   if (leaderDies)
-    group.Place.kill(*group.Place.leader());
+    group.Simulation.kill(*group.Simulation.leader());
   return group.until([&] {
-    return std::ranges::all_of(group.Place.processes(), [&](const auto *it) {
-      return !it->Entry || it->Entry->configuration().revision() >= accepted;
-    });
+    return std::ranges::all_of(
+        group.Simulation.processes(), [&](const auto *it) {
+          return !it->Entry ||
+                 it->Entry->configuration().revision() >= accepted;
+        });
   });
 }
 
@@ -112,7 +115,7 @@
   for (const bool cut : {false, true}) {
     std::vector<double> times;
     for (std::uint64_t seed = 1; seed <= Runs; ++seed)
-      times.push_back(withoutLeader(seed, cut));
+      times.push_back(timeWithoutLeader(seed, cut));
     print(cut ? "no leader after its links drop all packets"
               : "no leader after the leader is killed",
           times);
@@ -121,7 +124,7 @@
     for (const bool dies : {false, true}) {
       std::vector<double> times;
       for (std::uint64_t seed = 1; seed <= (entries > 10 ? 5 : Runs); ++seed)
-        times.push_back(spread(seed, entries, dies));
+        times.push_back(timeToApply(seed, entries, dies));
       const std::string what = "accepted to in force, " +
                                std::to_string(entries) + " entries" +
                                (dies ? ", leader killed" : "");
--- a/bench/SlopesMain.cpp
+++ b/bench/SlopesMain.cpp
@@ -83,8 +83,8 @@
 
 /// Repeats \p action for at least 200 ms of processor time.
 /// \returns the mean processor time per call in microseconds.
-template <class Action> double timeOf(Action &&action) {
-  constexpr double EnoughMicros = 200'000;
+template <class Action> double microsPerCall(Action &&action) {
+  constexpr double MinMicros = 200'000;
   std::uint64_t calls = 0;
   const double begin = processorMicros();
   double spent = 0;
@@ -93,7 +93,7 @@
       action();
     calls += 16;
     spent = processorMicros() - begin;
-  } while (spent < EnoughMicros);
+  } while (spent < MinMicros);
   return spent / static_cast<double>(calls);
 }
 
@@ -111,7 +111,7 @@
       configuration.put(adapterRecord(i));
     memory.push_back({static_cast<double>(n), heapBytes() - before});
     std::size_t i = 0;
-    lookup.push_back({static_cast<double>(n), timeOf([&] {
+    lookup.push_back({static_cast<double>(n), microsPerCall([&] {
                         i = (i + 7919) % n;
                         (void)configuration.findAdapter(adapterRecord(i).Name);
                       })});
@@ -133,7 +133,7 @@
     AffinityRouting routing({});
     std::size_t i = 0;
     routes.push_back(
-        {static_cast<double>(n), timeOf([&] {
+        {static_cast<double>(n), microsPerCall([&] {
            const std::vector<TriedHost> tried;
            const AdapterKey key{AdapterName(std::to_string(++i)), 1};
            (void)routing.choose(
@@ -161,8 +161,10 @@
 void printSize(const char *what, const Message &message) {
   constexpr HybridTime Now = 1'790'000'000'000ULL << 16;
   const std::string bytes = encodeFrame({Now, message});
-  const double encode = timeOf([&] { (void)encodeFrame({Now, message}); });
-  const double decode = timeOf([&] { (void)decodeFrame(bytes); });
+  const double encode = microsPerCall([&] {
+    (void)encodeFrame({Now, message});
+  });
+  const double decode = microsPerCall([&] { (void)decodeFrame(bytes); });
   std::printf("%-46s %zu B, encode %.2f us, decode %.2f us\n", what,
               bytes.size() + WebSocketOverhead, encode, decode);
 }
@@ -217,7 +219,7 @@
     agent.onEngineFound(now, {}, true);
     agent.onEngineFound(now + std::chrono::seconds(5), {}, true);
     std::uint64_t n = 0;
-    const auto serve = [&] {
+    const auto serveRequest = [&] {
       const AttemptId attempt{1, ++n};
       const AdapterKey key{AdapterName("adapter-" + std::to_string(n % 6)), 1};
       agent.onExecute(now, 1,
@@ -233,8 +235,9 @@
       (void)agent.takeCommands();
     };
     for (int i = 0; i < 6; ++i)
-      serve();
-    points.push_back({static_cast<double>(tokens), timeOf(serve)});
+      serveRequest();
+    points.push_back(
+        {static_cast<double>(tokens), microsPerCall(serveRequest)});
   }
   printFit("agent: decisions for a request by tokens", "us", points);
 
@@ -281,7 +284,7 @@
       subscribers.add(i, {.Host = HostName("e"), .Known = revision});
     AdapterRecord record = adapterRecord(5);
     int rounds = 0;
-    pushes.push_back({static_cast<double>(n), timeOf([&] {
+    pushes.push_back({static_cast<double>(n), microsPerCall([&] {
                         record.ChangedAt = ++revision;
                         configuration.put(record);
                         configuration.advance(revision);
@@ -301,7 +304,7 @@
     const TimePoint now{std::chrono::seconds(1)};
     for (std::size_t i = 0; i < n; ++i)
       members.announce(now, memberRecord(i));
-    renewals.push_back({static_cast<double>(n), timeOf([&] {
+    renewals.push_back({static_cast<double>(n), microsPerCall([&] {
                           for (std::size_t i = 0; i < n; ++i)
                             members.renew(now, memberRecord(i).Host,
                                           memberRecord(i).Incarnation);
@@ -315,7 +318,7 @@
     LoadScheduler scheduler({});
     const TimePoint now{std::chrono::seconds(1)};
     std::size_t i = 0;
-    const auto tell = [&] {
+    const auto addDemand = [&] {
       ++i;
       scheduler.onDemand(now, {memberRecord(i % n).Host,
                                1,
@@ -324,8 +327,8 @@
                                std::chrono::seconds(9)});
     };
     for (std::size_t j = 0; j < n; ++j)
-      tell();
-    demands.push_back({static_cast<double>(n), timeOf(tell)});
+      addDemand();
+    demands.push_back({static_cast<double>(n), microsPerCall(addDemand)});
   }
   printFit("scheduler: a demand, time by demands waiting", "us", demands);
 
--- a/packages/ctl/src/TimeLine.cpp
+++ b/packages/ctl/src/TimeLine.cpp
@@ -20,16 +20,16 @@
                                                       : 0;
 }
 
-bool isOwnField(const std::string &key) {
-  static const std::set<std::string> Own = {"hlc",   "ms",    "host",   "zone",
-                                            "level", "event", "request"};
-  return Own.contains(key);
+bool isCommonField(const std::string &key) {
+  static const std::set<std::string> CommonFields = {
+      "hlc", "ms", "host", "zone", "level", "event", "request"};
+  return CommonFields.contains(key);
 }
 
 std::string detailsOf(const Json &json) {
   std::string result;
   for (const auto &[key, value] : json.items()) {
-    if (isOwnField(key) ||
+    if (isCommonField(key) ||
         (value.is_string() && value.get<std::string>().empty()))
       continue;
     result += (result.empty() ? "" : " ") + key + "=" +
@@ -115,14 +115,15 @@
 }
 
 /// Explanation of a request's last event, and where to look next. The first
-/// match in Meanings counts, so longer marks stand before their prefixes.
-struct Meaning {
+/// match in Explanations counts, so a row with a longer detail precedes the row
+/// with its prefix.
+struct Explanation {
   const char *Event;
   /// Text that the event's details must contain; empty matches all.
-  const char *Mark;
+  const char *RequiredDetail;
   const char *Sentence;
 };
-constexpr Meaning Meanings[] = {
+constexpr Explanation Explanations[] = {
     {"request_lost", "why=not_ready",
      "refused: this entry had no confirmed routing document; look for "
      "replica_state and peer_lost around that time"},
@@ -200,9 +201,9 @@
   }
   if (!last)
     return {};
-  for (const Meaning &it : Meanings)
+  for (const Explanation &it : Explanations)
     if (last->Event == it.Event &&
-        last->Details.find(it.Mark) != std::string::npos)
+        last->Details.find(it.RequiredDetail) != std::string::npos)
       return text + "=> " + it.Sentence + "\n";
   return text + "=> its end is not in these logs: it may be in progress, its "
                 "line may have been omitted by the rate limit "
--- a/packages/ctl/src/main.cpp
+++ b/packages/ctl/src/main.cpp
@@ -74,7 +74,7 @@
   std::uint64_t IssuedAtMs = 0;
   bool Idempotent = false;
   std::string Page;
-  std::vector<std::string> Words;
+  std::vector<std::string> Operands;
 };
 
 std::string randomId() {
@@ -98,7 +98,7 @@
   change.set_builds_on(arguments.BuildsOn);
 }
 
-int exitOf(bool good) { return good ? Good : Failed; }
+int exitCode(bool good) { return good ? Good : Failed; }
 
 int usage() {
   std::fputs(Help, stderr);
@@ -110,68 +110,68 @@
 //===----------------------------------------------------------------------===//
 
 int createAdapter(Client &client, const Arguments &arguments) {
-  if (arguments.Words.size() != 3)
+  if (arguments.Operands.size() != 3)
     return usage();
   v1::CreateAdapterRequest request;
   fill(*request.mutable_change(), arguments);
-  request.set_adapter(arguments.Words[1]);
-  request.set_base_model(arguments.Words[2]);
-  return exitOf(client.call("Operator/CreateAdapter", request));
+  request.set_adapter(arguments.Operands[1]);
+  request.set_base_model(arguments.Operands[2]);
+  return exitCode(client.call("Operator/CreateAdapter", request));
 }
 
 int createVersion(Client &client, const Arguments &arguments) {
   std::uint32_t number = 0;
-  if (arguments.Words.size() != 4 ||
-      !parseNumber(arguments.Words[2].c_str(), number))
+  if (arguments.Operands.size() != 4 ||
+      !parseNumber(arguments.Operands[2].c_str(), number))
     return usage();
   v1::CreateVersionRequest request;
   fill(*request.mutable_change(), arguments);
-  request.set_adapter(arguments.Words[1]);
+  request.set_adapter(arguments.Operands[1]);
   request.set_version(number);
-  request.set_source(arguments.Words[3]);
-  return exitOf(client.call("Operator/CreateVersion", request));
+  request.set_source(arguments.Operands[3]);
+  return exitCode(client.call("Operator/CreateVersion", request));
 }
 
 int declareLive(Client &client, const Arguments &arguments) {
-  if (arguments.Words.size() < 2)
+  if (arguments.Operands.size() < 2)
     return usage();
   v1::DeclareLiveRequest request;
   fill(*request.mutable_change(), arguments);
-  request.set_adapter(arguments.Words[1]);
-  for (std::size_t i = 2; i < arguments.Words.size(); ++i) {
+  request.set_adapter(arguments.Operands[1]);
+  for (std::size_t i = 2; i < arguments.Operands.size(); ++i) {
     std::uint32_t number = 0;
-    if (!parseNumber(arguments.Words[i].c_str(), number))
+    if (!parseNumber(arguments.Operands[i].c_str(), number))
       return usage();
     request.add_versions(number);
   }
-  return exitOf(client.call("Operator/DeclareLive", request));
+  return exitCode(client.call("Operator/DeclareLive", request));
 }
 
 int setKind(Client &client, const Arguments &arguments) {
-  if (arguments.Words.size() != 2)
+  if (arguments.Operands.size() != 2)
     return usage();
   v1::SetKindRequest request;
   fill(*request.mutable_change(), arguments);
   v1::Kind &kind = *request.mutable_kind();
-  kind.set_name(arguments.Words[1]);
+  kind.set_name(arguments.Operands[1]);
   kind.set_weight(arguments.Weight);
   kind.set_window_ms(arguments.WindowMs);
   kind.set_in_flight_limit(arguments.Limit);
   kind.set_caller_limit(arguments.CallerLimit);
-  return exitOf(client.call("Operator/SetKind", request));
+  return exitCode(client.call("Operator/SetKind", request));
 }
 
 /// Calls an operator method on one named object; \p setName puts the name into
 /// the request.
 template <class Request>
-int changeOne(Client &client, const Arguments &arguments, const char *method,
-              void (*setName)(Request &, const std::string &)) {
-  if (arguments.Words.size() != 2)
+int changeNamed(Client &client, const Arguments &arguments, const char *method,
+                void (*setName)(Request &, const std::string &)) {
+  if (arguments.Operands.size() != 2)
     return usage();
   Request request;
   fill(*request.mutable_change(), arguments);
-  setName(request, arguments.Words[1]);
-  return exitOf(client.call(method, request));
+  setName(request, arguments.Operands[1]);
+  return exitCode(client.call(method, request));
 }
 
 void setHost(v1::DrainRequest &request, const std::string &name) {
@@ -185,18 +185,18 @@
 }
 
 int generate(Client &client, const Arguments &arguments) {
-  if (arguments.Words.size() != 3)
+  if (arguments.Operands.size() != 3)
     return usage();
   v1::GenerateRequest request;
   request.set_request_id(arguments.Request.empty() ? randomId()
                                                    : arguments.Request);
   request.set_caller(arguments.Caller);
   request.set_kind(arguments.Kind);
-  request.set_adapter(arguments.Words[1]);
+  request.set_adapter(arguments.Operands[1]);
   request.set_version(arguments.Version);
-  request.set_prompt(arguments.Words[2]);
+  request.set_prompt(arguments.Operands[2]);
   request.set_max_tokens(arguments.MaxTokens);
-  return exitOf(client.stream("Assistant/GenerateStream", request));
+  return exitCode(client.stream("Assistant/GenerateStream", request));
 }
 
 std::uint64_t wallMilliseconds() {
@@ -207,27 +207,27 @@
 }
 
 int callService(Client &client, const Arguments &arguments) {
-  if (arguments.Words.size() != 4)
+  if (arguments.Operands.size() != 4)
     return usage();
   v1::CallServiceRequest request;
   request.set_request_id(arguments.Request.empty() ? randomId()
                                                    : arguments.Request);
   request.set_caller(arguments.Caller);
   request.set_kind(arguments.Kind);
-  request.set_service(arguments.Words[1]);
-  request.set_method(arguments.Words[2]);
-  request.set_payload(arguments.Words[3]);
+  request.set_service(arguments.Operands[1]);
+  request.set_method(arguments.Operands[2]);
+  request.set_payload(arguments.Operands[3]);
   request.set_idempotent(arguments.Idempotent);
   request.set_issued_at_ms(arguments.IssuedAtMs ? arguments.IssuedAtMs
                                                 : wallMilliseconds());
-  return exitOf(client.call("Assistant/CallService", request));
+  return exitCode(client.call("Assistant/CallService", request));
 }
 
 TimeLine readLogs(const Arguments &arguments, std::size_t first,
                   Findings &findings) {
   TimeLine line;
-  for (std::size_t i = first; i < arguments.Words.size(); ++i) {
-    const std::string &name = arguments.Words[i];
+  for (std::size_t i = first; i < arguments.Operands.size(); ++i) {
+    const std::string &name = arguments.Operands[i];
     std::ifstream file(name);
     if (!file)
       findings.add(name, "cannot be read");
@@ -239,23 +239,23 @@
 }
 
 int explain(const Arguments &arguments) {
-  if (arguments.Words.size() < 3)
+  if (arguments.Operands.size() < 3)
     return usage();
   Findings findings;
   TimeLine line = readLogs(arguments, 2, findings);
   line.sort();
-  const std::string text = line.explain(arguments.Words[1]);
+  const std::string text = line.explain(arguments.Operands[1]);
   if (text.empty())
     std::fprintf(stderr,
                  "no line names request %s (%zu lines could not be "
                  "read)\n",
-                 arguments.Words[1].c_str(), findings.items().size());
+                 arguments.Operands[1].c_str(), findings.items().size());
   std::fputs(text.c_str(), stdout);
-  return exitOf(!text.empty());
+  return exitCode(!text.empty());
 }
 
 int timeLine(const Arguments &arguments) {
-  if (arguments.Words.size() < 2)
+  if (arguments.Operands.size() < 2)
     return usage();
   Findings findings;
   TimeLine line = readLogs(arguments, 1, findings);
@@ -267,16 +267,16 @@
   else
     std::ofstream(arguments.Page) << line.toPage();
   std::fputs(findings.toText().c_str(), stderr);
-  return exitOf(findings.empty());
+  return exitCode(findings.empty());
 }
 
 template <class Request>
-int ask(Client &client, const char *method, const Request &request) {
-  return exitOf(client.call(method, request));
+int query(Client &client, const char *method, const Request &request) {
+  return exitCode(client.call(method, request));
 }
 
 int runCommand(const Arguments &arguments) {
-  const std::string &command = arguments.Words[0];
+  const std::string &command = arguments.Operands[0];
   if (command == "timeline")
     return timeLine(arguments);
   if (command == "explain")
@@ -294,41 +294,42 @@
   if (command == "set-kind")
     return setKind(client, arguments);
   if (command == "drain")
-    return changeOne(client, arguments, "Operator/Drain", setHost);
+    return changeNamed(client, arguments, "Operator/Drain", setHost);
   if (command == "undrain")
-    return changeOne(client, arguments, "Operator/Undrain", setHost);
+    return changeNamed(client, arguments, "Operator/Undrain", setHost);
   if (command == "evacuate")
-    return changeOne(client, arguments, "Operator/EvacuateZone", setZone);
+    return changeNamed(client, arguments, "Operator/EvacuateZone", setZone);
   if (command == "restore")
-    return changeOne(client, arguments, "Operator/RestoreZone", setZone);
+    return changeNamed(client, arguments, "Operator/RestoreZone", setZone);
   if (command == "release")
-    return changeOne(client, arguments, "Operator/ReleaseRequest", setContent);
+    return changeNamed(client, arguments, "Operator/ReleaseRequest",
+                       setContent);
   if (command == "generate")
     return generate(client, arguments);
   if (command == "call")
     return callService(client, arguments);
   if (command == "bootstrap")
-    return ask(client, "Operator/Bootstrap", v1::BootstrapRequest());
+    return query(client, "Operator/Bootstrap", v1::BootstrapRequest());
   if (command == "kinds")
-    return ask(client, "Operator/ListKinds", v1::ListKindsRequest());
+    return query(client, "Operator/ListKinds", v1::ListKindsRequest());
   if (command == "accounts") {
     v1::GetStatusRequest request;
     request.set_accounts_only(true);
-    return ask(client, "Operator/GetStatus", request);
+    return query(client, "Operator/GetStatus", request);
   }
   if (command == "status")
-    return ask(client, "Operator/GetStatus", v1::GetStatusRequest());
-  if (arguments.Words.size() != 2)
+    return query(client, "Operator/GetStatus", v1::GetStatusRequest());
+  if (arguments.Operands.size() != 2)
     return usage();
   if (command == "adapter") {
     v1::GetAdapterRequest request;
-    request.set_adapter(arguments.Words[1]);
-    return ask(client, "Operator/GetAdapter", request);
+    request.set_adapter(arguments.Operands[1]);
+    return query(client, "Operator/GetAdapter", request);
   }
   if (command == "remove-replica") {
     v1::RemoveReplicaRequest request;
-    request.set_host(arguments.Words[1]);
-    return ask(client, "Operator/RemoveReplica", request);
+    request.set_host(arguments.Operands[1]);
+    return query(client, "Operator/RemoveReplica", request);
   }
   return usage();
 }
@@ -351,7 +352,7 @@
 
 /// Stores the value of an option in \p arguments.
 /// \returns whether the option is known and its value valid.
-bool takeOption(int option, const char *value, Arguments &arguments) {
+bool parseOption(int option, const char *value, Arguments &arguments) {
   switch (option) {
   case 'e':
     arguments.Entry = value;
@@ -434,12 +435,12 @@
       std::puts("pimentofrontctl 0.1.0");
       return Good;
     }
-    if (!takeOption(c, optarg, arguments))
+    if (!parseOption(c, optarg, arguments))
       return usage();
   }
   for (int i = optind; i < argc; ++i)
-    arguments.Words.emplace_back(argv[i]);
-  if (arguments.Words.empty())
+    arguments.Operands.emplace_back(argv[i]);
+  if (arguments.Operands.empty())
     return usage();
   return runCommand(arguments);
 }
--- a/packages/daemon/src/ApiHandler.cpp
+++ b/packages/daemon/src/ApiHandler.cpp
@@ -116,21 +116,21 @@
   gauges.InProgress = static_cast<double>(Calls.size());
   gauges.PeerBytesSent = static_cast<double>(Network.bytesSent());
   gauges.PeerBytesReceived = static_cast<double>(Network.bytesReceived());
-  if (Parts.Entry) {
-    const ConfigurationCopy &copy = Parts.Entry->configuration();
+  if (Nodes.Entry) {
+    const ConfigurationCopy &copy = Nodes.Entry->configuration();
     gauges.Revision = static_cast<double>(copy.revision());
     gauges.ConfigurationLeaseSeconds = toSeconds(copy.leaseLeft(now));
   }
-  if (Parts.Agent) {
-    const AgentBoard &board = Parts.Agent->controller().board();
-    gauges.MemberLeaseSeconds = toSeconds(Parts.Agent->leaseLeft(now));
+  if (Nodes.Agent) {
+    const AgentBoard &board = Nodes.Agent->controller().board();
+    gauges.MemberLeaseSeconds = toSeconds(Nodes.Agent->leaseLeft(now));
     gauges.EngineRunning = board.runningOnEngine();
     gauges.EngineWaiting = static_cast<double>(board.WaitingCount);
     gauges.BatchCapacity = board.Options.BatchCapacity;
     gauges.EngineRateLimit = board.Pacer.limit(now).perSecond();
   }
-  if (Parts.Forward) {
-    const ServerSet &servers = Parts.Forward->controller().board().Servers;
+  if (Nodes.Forward) {
+    const ServerSet &servers = Nodes.Forward->controller().board().Servers;
     const FeedbackCounts counts = servers.countFeedback(now);
     gauges.LimitedServers = counts.Limited;
     gauges.RestingServers = counts.Resting;
@@ -139,13 +139,13 @@
     gauges.EvacuatedZones =
         static_cast<double>(servers.evacuatedZones().size());
   }
-  if (Parts.Replica)
-    gauges.Leads = Parts.Replica->log().holdsLease(now) ? 1 : 0;
+  if (Nodes.Replica)
+    gauges.Leads = Nodes.Replica->log().holdsLease(now) ? 1 : 0;
   Counters.set(gauges);
   return Counters.text();
 }
 
-void ApiHandler::onPlain(HttpExchange &exchange) {
+void ApiHandler::onPlainHttp(HttpExchange &exchange) {
   const std::vector<HttpHeader> text = {{"Content-Type", "text/plain"}};
   const std::string_view path = exchange.path();
   if (path == "/healthz")
@@ -154,9 +154,9 @@
     return exchange.reply(StatusOk, text, metricsText());
   if (path != "/readyz")
     return exchange.reply(StatusNotFound, text, "no such page\n");
-  const bool entryReady = !Parts.Entry || Parts.Entry->ready(Loop.now());
+  const bool entryReady = !Nodes.Entry || Nodes.Entry->ready(Loop.now());
   const bool agentReady =
-      !Parts.Agent || !Parts.Agent->controller().board().Leaving;
+      !Nodes.Agent || !Nodes.Agent->controller().board().Leaving;
   if (!Stopping && entryReady && agentReady)
     return exchange.reply(StatusOk, text, "ready\n");
   exchange.reply(StatusUnavailable, text, "not ready\n");
@@ -164,7 +164,7 @@
 
 void ApiHandler::onRequest(std::shared_ptr<HttpExchange> exchange) {
   if (exchange->method() == "GET")
-    return onPlain(*exchange);
+    return onPlainHttp(*exchange);
   if (exchange->method() == "POST")
     return onCall(exchange);
   exchange->reply(StatusMethodNotAllowed, {{"Allow", "GET, POST"}}, "");
@@ -192,10 +192,10 @@
                       .Message = "Connect-Timeout-Ms isn't a number"});
   call.Timeout = *timeout;
   const std::string_view path = exchange->path();
-  if (path.starts_with(AssistantPath) && Parts.Entry)
+  if (path.starts_with(AssistantPath) && Nodes.Entry)
     return dispatch(std::move(call), path.substr(AssistantPath.size()));
   if (path.starts_with(OperatorPath) && !content->Stream &&
-      serveOperatorCall(Parts, Options, Loop.now(),
+      serveOperatorCall(Nodes, Options, Loop.now(),
                         path.substr(OperatorPath.size()), call))
     return;
   call.fail({.Code = ConnectCode::Unimplemented,
@@ -246,7 +246,8 @@
                         .Timeout = call.Timeout,
                         .Resumed = message.resume_text()};
   Pending pending{.Call = std::move(call),
-                  .For = stream ? Waiting::Stream : Waiting::Text};
+                  .Expected =
+                      stream ? ResponseKind::Stream : ResponseKind::Text};
   begin(std::move(pending), std::move(request));
 }
 
@@ -273,7 +274,8 @@
                         .Idempotent = message.idempotent(),
                         .IssuedAtMilliseconds = message.issued_at_ms(),
                         .Timeout = call.Timeout};
-  begin({.Call = std::move(call), .For = Waiting::Service}, std::move(request));
+  begin({.Call = std::move(call), .Expected = ResponseKind::Service},
+        std::move(request));
 }
 
 void ApiHandler::begin(Pending pending, CallerRequest request) {
@@ -284,7 +286,7 @@
   pending.ArrivedAt = Loop.now();
   pending.Text = request.Resumed;
   pending.Call.Exchange->onGone([this, key] {
-    Parts.Entry->callerGone(Loop.now(), key);
+    Nodes.Entry->callerGone(Loop.now(), key);
     Calls.erase(key);
   });
   Log.write(LogLevel::Info, "request_received",
@@ -294,7 +296,7 @@
              {"adapter", request.Adapter.str()},
              {"service", request.Service.str()}});
   Calls.emplace(key, std::move(pending));
-  Parts.Entry->request(Loop.now(), std::move(request));
+  Nodes.Entry->request(Loop.now(), std::move(request));
 }
 
 void ApiHandler::cancel(const ApiCall &call) {
@@ -309,7 +311,7 @@
       keys.push_back(key);
   response.set_found(!keys.empty());
   for (const RequestKey it : keys)
-    Parts.Entry->callerGone(Loop.now(), it);
+    Nodes.Entry->callerGone(Loop.now(), it);
   call.succeed(response);
 }
 
@@ -318,9 +320,9 @@
 //===----------------------------------------------------------------------===//
 
 void ApiHandler::beginStream(Pending &pending) {
-  if (pending.StreamBegun)
+  if (pending.StreamStarted)
     return;
-  pending.StreamBegun = true;
+  pending.StreamStarted = true;
   pending.Call.Exchange->beginStream(
       StatusOk, {{"Content-Type", contentTypeOf(pending.Call.Content)}});
 }
@@ -331,7 +333,7 @@
   if (it == Calls.end())
     return;
   Pending &pending = it->second;
-  if (pending.For == Waiting::Text) {
+  if (pending.Expected == ResponseKind::Text) {
     pending.Text += text;
     return;
   }
@@ -367,7 +369,7 @@
   Pending pending = std::move(it->second);
   Calls.erase(it);
   const Duration took = Loop.now() - pending.ArrivedAt;
-  Counters.noteFinal(kind, final, took);
+  Counters.recordFinalAnswer(kind, final, took);
   Log.write(LogLevel::Info, "request_ended",
             {{"request", pending.Id.str()},
              {"answer", finalKindName(final.Kind)},
@@ -383,12 +385,12 @@
 }
 
 void ApiHandler::answer(Pending &pending, const FinalAnswer &final) {
-  if (pending.For == Waiting::Service) {
+  if (pending.Expected == ResponseKind::Service) {
     v1::CallServiceResponse response;
     response.set_payload(final.Payload);
     return pending.Call.succeed(response);
   }
-  if (pending.For == Waiting::Text) {
+  if (pending.Expected == ResponseKind::Text) {
     v1::GenerateResponse response;
     response.set_text(pending.Text);
     *response.mutable_summary() = summaryOf(final);
@@ -413,7 +415,7 @@
                            .Reason = refused ? refusalReasonName(final.Reason)
                                              : finalKindName(final.Kind),
                            .ComeBack = final.ComeBack};
-  if (!pending.StreamBegun)
+  if (!pending.StreamStarted)
     return pending.Call.fail(error);
   pending.Call.Exchange->sendPiece(encodeEndOfStream(&error));
   pending.Call.Exchange->endStream();
--- a/packages/daemon/src/ApiHandler.h
+++ b/packages/daemon/src/ApiHandler.h
@@ -23,10 +23,10 @@
   void fail(const ConnectError &error) const;
 };
 
-/// \class ApiParts
+/// \class LocalNodes
 /// \brief The nodes that run in this process; null for roles that it does not
 /// have.
-struct ApiParts {
+struct LocalNodes {
   EntryNode *Entry = nullptr;
   AgentNode *Agent = nullptr;
   ReplicaNode *Replica = nullptr;
@@ -42,7 +42,7 @@
              Metrics &metrics, const PeerNetwork &network);
   ~ApiHandler() override;
 
-  void setParts(const ApiParts &parts) { Parts = parts; }
+  void setNodes(const LocalNodes &nodes) { Nodes = nodes; }
   /// Makes the readiness page report "not ready", so that the load balancer
   /// stops sending requests to this process.
   void beginStop() { Stopping = true; }
@@ -55,18 +55,18 @@
 
 private:
   /// The form in which a caller gets its response.
-  enum class Waiting : std::uint8_t { Text, Stream, Service };
+  enum class ResponseKind : std::uint8_t { Text, Stream, Service };
   struct Pending {
     ApiCall Call;
-    Waiting For = Waiting::Text;
+    ResponseKind Expected = ResponseKind::Text;
     CallerName Caller;
     RequestId Id;
     TimePoint ArrivedAt;
     std::string Text;
-    bool StreamBegun = false;
+    bool StreamStarted = false;
   };
 
-  void onPlain(HttpExchange &exchange);
+  void onPlainHttp(HttpExchange &exchange);
   std::string metricsText();
   void onCall(const std::shared_ptr<HttpExchange> &exchange);
   void dispatch(ApiCall call, std::string_view method);
@@ -84,7 +84,7 @@
   EventLog &Log;
   Metrics &Counters;
   const PeerNetwork &Network;
-  ApiParts Parts;
+  LocalNodes Nodes;
   bool Stopping = false;
   RequestKey LastKey = 0;
   std::unordered_map<RequestKey, Pending> Calls;
@@ -93,7 +93,7 @@
 /// Serves a call of the Operator service.
 /// \returns false if that service has no \p method in this process; the call is
 /// then not answered.
-bool serveOperatorCall(const ApiParts &parts, const Settings &settings,
+bool serveOperatorCall(const LocalNodes &nodes, const Settings &settings,
                        TimePoint now, std::string_view method,
                        const ApiCall &call);
 
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -122,7 +122,7 @@
   agent.Address = Options.PeerAddress;
   agent.Replicas = Options.Replicas;
   BackendDriver *driver = nullptr;
-  if (Options.EngineTakesOrders) {
+  if (Options.UsesEngineOrders) {
     Gate = std::make_unique<SharedLoads>(SharedLoadsOptions{});
     Orders = std::make_unique<platform::EngineOrders>(
         Loop, *Client,
@@ -172,7 +172,7 @@
                                           *ForwardRouting, *Network, *Front);
   Front->setNode(*Forward);
   Control->setReady(
-      [this] { return Forward->ready(Loop.now()) && !StopBegan; });
+      [this] { return Forward->ready(Loop.now()) && !StopStartedAt; });
 }
 
 void Daemon::createNodes() {
@@ -187,7 +187,7 @@
     createEntry(now);
   if (Options.IsForward)
     createForward(now);
-  Api->setParts({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
+  Api->setNodes({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
 }
 
 ExitCode Daemon::run() {
@@ -241,7 +241,7 @@
   const TimePoint now = Loop.now();
   if (Replica) {
     Replica->onMessage(now, link, message);
-    flushSoon();
+    scheduleFlush();
   }
   if (Agent)
     Agent->onMessage(now, link, message);
@@ -270,7 +270,7 @@
 
 /// Flushes after the current iteration of the event loop, so that all messages
 /// of one iteration share one sync of the disk.
-void Daemon::flushSoon() {
+void Daemon::scheduleFlush() {
   if (FlushTimer)
     return;
   FlushTimer = Loop.after(Duration::zero(), [this] {
@@ -288,7 +288,7 @@
   const TimePoint now = Loop.now();
   if (Replica) {
     Replica->tick(now);
-    noteReplicaChanges();
+    checkReplicaState();
   }
   if (Agent)
     Agent->tick(now);
@@ -337,13 +337,13 @@
               {"last", log.lastIndex()}});
 }
 
-void Daemon::noteReplicaChanges() {
+void Daemon::checkReplicaState() {
   logGroupState();
   const bool leads = Replica->log().holdsLease(Loop.now());
-  if (leads != Led)
+  if (leads != WasLeading)
     Log->write(LogLevel::Info, leads ? "leader_began" : "leader_ended",
                {{"term", Replica->log().term()}});
-  Led = leads;
+  WasLeading = leads;
   if (!Replica->storeError())
     return;
   Log->write(LogLevel::Error, "store_failed",
@@ -357,18 +357,18 @@
 /// that the replica has promised to others.
 void Daemon::closeReplica() {
   Control->setReplica(nullptr);
-  Api->setParts({Entry.get(), Agent.get(), nullptr, Forward.get()});
+  Api->setNodes({Entry.get(), Agent.get(), nullptr, Forward.get()});
   Replica.reset();
   Store.reset();
-  Led = false;
+  WasLeading = false;
   LoggedGroup = {};
   Network->closeAll();
   retryStoreLater();
 }
 
 void Daemon::retryStoreLater() {
-  constexpr Duration Pause = std::chrono::milliseconds(500);
-  StoreTimer = Loop.after(Pause, [this] {
+  constexpr Duration RetryDelay = std::chrono::milliseconds(500);
+  StoreTimer = Loop.after(RetryDelay, [this] {
     const auto keep = std::move(StoreTimer);
     if (openStore() != ExitCode::Good) {
       StoreFailed = true;
@@ -379,14 +379,14 @@
     Log->write(LogLevel::Info, "store_opened_again", {});
     Network->setReplica(Stored.Id);
     createReplica(Loop.now());
-    Api->setParts({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
+    Api->setNodes({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
   });
 }
 
 void Daemon::beginStop() {
-  if (StopBegan)
+  if (StopStartedAt)
     return;
-  StopBegan = Loop.now();
+  StopStartedAt = Loop.now();
   Log->write(LogLevel::Info, "stop_began", {});
   Api->beginStop();
   if (Front)
@@ -410,7 +410,7 @@
 }
 
 void Daemon::continueStop() {
-  const bool late = Loop.now() - *StopBegan > Options.StopLimit;
+  const bool late = Loop.now() - *StopStartedAt > Options.StopLimit;
   if (!idle() && !late)
     return;
   if (!idle())
@@ -419,8 +419,8 @@
   if (Agent)
     Agent->sayGoodbye(Loop.now());
   // Gives the leave message time to be sent.
-  constexpr Duration Farewell = std::chrono::milliseconds(100);
-  StopTimer = Loop.after(Farewell, [this] { Loop.stop(); });
+  constexpr Duration LeaveMessageDelay = std::chrono::milliseconds(100);
+  StopTimer = Loop.after(LeaveMessageDelay, [this] { Loop.stop(); });
 }
 
 } // namespace pimentofront
--- a/packages/daemon/src/Daemon.h
+++ b/packages/daemon/src/Daemon.h
@@ -63,8 +63,8 @@
   void createForward(TimePoint now);
   void bootstrapIfFirst(TimePoint now);
   void tick();
-  void flushSoon();
-  void noteReplicaChanges();
+  void scheduleFlush();
+  void checkReplicaState();
   void logGroupState();
   void closeReplica();
   void retryStoreLater();
@@ -104,7 +104,7 @@
   std::unique_ptr<Timer> FlushTimer;
   std::unique_ptr<Timer> StopTimer;
   std::unique_ptr<Timer> StoreTimer;
-  std::optional<TimePoint> StopBegan;
+  std::optional<TimePoint> StopStartedAt;
   /// The replica group's state as this replica sees it; the last one logged.
   struct GroupState {
     LogRole Role = LogRole::Follower;
@@ -116,7 +116,7 @@
   GroupState LoggedGroup;
   /// Host at the other end of each link, for the log.
   std::map<LinkId, HostName> Peers;
-  bool Led = false;
+  bool WasLeading = false;
   bool StoreFailed = false;
   bool WasReady = false;
 };
--- a/packages/daemon/src/EngineDriver.cpp
+++ b/packages/daemon/src/EngineDriver.cpp
@@ -10,17 +10,17 @@
 constexpr int StatusOk = 200;
 constexpr Duration LoadTimeout = std::chrono::seconds(60);
 constexpr Duration ProbeTimeout = std::chrono::seconds(2);
-constexpr char VersionMark = '@';
+constexpr char VersionSeparator = '@';
 
 /// \returns the name that the engine has for a version of an adapter.
 std::string engineName(const AdapterKey &key) {
-  return key.Adapter.str() + VersionMark + std::to_string(key.Version);
+  return key.Adapter.str() + VersionSeparator + std::to_string(key.Version);
 }
 
 /// \returns the adapter's version that engineName() maps to \p name; nothing
 /// for a name of another form, such as that of the base model.
 std::optional<AdapterKey> parseEngineName(const std::string &name) {
-  const std::size_t mark = name.rfind(VersionMark);
+  const std::size_t mark = name.rfind(VersionSeparator);
   if (mark == std::string::npos || mark + 1 == name.size())
     return std::nullopt;
   AdapterKey key{AdapterName(name.substr(0, mark))};
@@ -139,19 +139,20 @@
   const auto it = Generations.find(attempt);
   if (it == Generations.end())
     return;
-  const bool whole = it->second.Done && answer.Status == StatusOk;
+  const bool complete = it->second.Done && answer.Status == StatusOk;
   // A restarted engine answers 404 since it has not loaded the adapter: the
   // request was not run.
   constexpr int StatusNotFound = 404;
   const bool notRun = answer.Ending == HttpEnding::NotSent ||
                       (answer.Ending == HttpEnding::Complete &&
                        answer.Status == StatusNotFound);
-  Log.write(LogLevel::Info, whole ? "generation_ended" : "generation_broke_off",
+  Log.write(LogLevel::Info,
+            complete ? "generation_ended" : "generation_broke_off",
             {{"request", it->second.Request.str()},
              {"status", std::uint64_t(answer.Status)}});
   Generations.erase(it);
   AgentController &controller = Node->controller();
-  if (whole)
+  if (complete)
     controller.onWorkEnded(Loop.now(), attempt, AttemptEnding::Answered, "");
   else if (notRun)
     controller.onWorkNotStarted(Loop.now(), attempt);
@@ -221,38 +222,38 @@
 //===----------------------------------------------------------------------===//
 
 void EngineDriver::load(const StartLoad &load) {
-  const TimePoint begun = Loop.now();
+  const TimePoint loadStart = Loop.now();
   if (load.Victim)
-    return unload(load, begun);
-  loadNow(load, begun);
+    return unload(load, loadStart);
+  sendLoad(load, loadStart);
 }
 
-void EngineDriver::unload(const StartLoad &load, TimePoint begun) {
+void EngineDriver::unload(const StartLoad &load, TimePoint loadStart) {
   HttpCall call = post("/v1/unload_lora_adapter",
                        dump({{"lora_name", engineName(*load.Victim)}}));
   call.Timeout = LoadTimeout;
-  call.OnEnd = [this, load, begun](const HttpAnswer &answer) {
+  call.OnEnd = [this, load, loadStart](const HttpAnswer &answer) {
     if (answer.Status != StatusOk)
-      return onLoadEnd(load, begun, false);
-    loadNow(load, begun);
+      return onLoadEnd(load, loadStart, false);
+    sendLoad(load, loadStart);
   };
   Client.start(std::move(call));
 }
 
-void EngineDriver::loadNow(const StartLoad &load, TimePoint begun) {
+void EngineDriver::sendLoad(const StartLoad &load, TimePoint loadStart) {
   HttpCall call = post(
       "/v1/load_lora_adapter",
       dump({{"lora_name", engineName(load.Key)}, {"lora_path", load.Source}}));
   call.Timeout = LoadTimeout;
-  call.OnEnd = [this, load, begun](const HttpAnswer &answer) {
-    onLoadEnd(load, begun, answer.Status == StatusOk);
+  call.OnEnd = [this, load, loadStart](const HttpAnswer &answer) {
+    onLoadEnd(load, loadStart, answer.Status == StatusOk);
   };
   Client.start(std::move(call));
 }
 
-void EngineDriver::onLoadEnd(const StartLoad &load, TimePoint begun,
+void EngineDriver::onLoadEnd(const StartLoad &load, TimePoint loadStart,
                              bool succeeded) {
-  const Duration took = Loop.now() - begun;
+  const Duration took = Loop.now() - loadStart;
   Counters.noteLoad(succeeded, took);
   Log.write(succeeded ? LogLevel::Info : LogLevel::Warn,
             succeeded ? "adapter_loaded" : "adapter_load_failed",
@@ -269,15 +270,15 @@
 //===----------------------------------------------------------------------===//
 
 void EngineDriver::probe() {
-  if (ProbeUnderWay)
+  if (ProbeInFlight)
     return;
-  ProbeUnderWay = true;
+  ProbeInFlight = true;
   Client.start({.Address = Engine,
                 .Method = "GET",
                 .Path = "/metrics",
                 .Timeout = ProbeTimeout,
                 .OnEnd = [this](const HttpAnswer &answer) {
-                  ProbeUnderWay = false;
+                  ProbeInFlight = false;
                   onMetrics(answer);
                 }});
 }
@@ -286,11 +287,11 @@
   const auto started = metricValue(answer.Body, "process_start_time_seconds");
   if (answer.Status != StatusOk || !started)
     return engineLost("the engine does not answer");
-  if (StartedAt != 0 && *started != StartedAt)
+  if (EngineStartTime != 0 && *started != EngineStartTime)
     engineLost("the engine has restarted");
   const auto running = metricValue(answer.Body, "vllm:num_requests_running");
   const bool idle = running && *running == 0;
-  if (StartedAt == *started && Node->controller().board().EngineReady)
+  if (EngineStartTime == *started && Node->controller().board().EngineReady)
     return;
   const double at = *started;
   Client.start({.Address = Engine,
@@ -315,18 +316,18 @@
     if (const auto key = parseEngineName(it["id"].get<std::string>()))
       resident.push_back(*key);
   }
-  if (StartedAt != startedAt)
+  if (EngineStartTime != startedAt)
     Log.write(LogLevel::Info, "engine_found",
               {{"resident", std::uint64_t(resident.size())}});
-  StartedAt = startedAt;
+  EngineStartTime = startedAt;
   Node->controller().onEngineFound(Loop.now(), resident, idle);
   Node->flush(Loop.now());
 }
 
 void EngineDriver::engineLost(const char *why) {
-  if (StartedAt == 0)
+  if (EngineStartTime == 0)
     return;
-  StartedAt = 0;
+  EngineStartTime = 0;
   Log.write(LogLevel::Warn, "engine_lost", {{"why", why}});
   // The controller ends all attempts in onEngineLost(), so only the HTTP calls
   // are cancelled here.
--- a/packages/daemon/src/EngineDriver.h
+++ b/packages/daemon/src/EngineDriver.h
@@ -40,9 +40,9 @@
   void onPiece(const AttemptId &attempt, std::string_view bytes);
   void onGenerationEnd(const AttemptId &attempt, const HttpAnswer &answer);
   void onServiceEnd(const AttemptId &attempt, const HttpAnswer &answer);
-  void unload(const StartLoad &load, TimePoint begun);
-  void loadNow(const StartLoad &load, TimePoint begun);
-  void onLoadEnd(const StartLoad &load, TimePoint begun, bool succeeded);
+  void unload(const StartLoad &load, TimePoint loadStart);
+  void sendLoad(const StartLoad &load, TimePoint loadStart);
+  void onLoadEnd(const StartLoad &load, TimePoint loadStart, bool succeeded);
   void probe();
   void onMetrics(const HttpAnswer &answer);
   void onModels(const HttpAnswer &answer, double startedAt, bool idle);
@@ -60,10 +60,10 @@
   std::unordered_map<AttemptId, Generation> Generations;
   std::unordered_map<AttemptId, HttpCallId> ServiceCalls;
   std::unique_ptr<Timer> ProbeTimer;
-  bool ProbeUnderWay = false;
+  bool ProbeInFlight = false;
   /// Start time of the engine's process as the engine reports it; a change
   /// shows a restart. 0 while the engine is unavailable.
-  double StartedAt = 0;
+  double EngineStartTime = 0;
 };
 
 } // namespace pimentofront
--- a/packages/daemon/src/EventLog.cpp
+++ b/packages/daemon/src/EventLog.cpp
@@ -60,8 +60,8 @@
   PipeAppender *Pipe = nullptr;
   bool Console = false;
   LogGate Gate;
-  std::uint64_t DroppedTold = 0;
-  std::unique_ptr<Timer> Reporter;
+  std::uint64_t DroppedReported = 0;
+  std::unique_ptr<Timer> ReportTimer;
 
   void configure() {
     log4cplus::PropertyConfigurator(Properties).configure();
@@ -72,8 +72,8 @@
     Logger.addAppender(log4cplus::SharedAppenderPtr(Pipe));
   }
 
-  void put(LogLevel level, const char *event,
-           std::initializer_list<LogField> fields) {
+  void writeLine(LogLevel level, const char *event,
+                 std::initializer_list<LogField> fields) {
     const std::uint64_t wall = Loop.wallMilliseconds();
     std::string line = "{\"hlc\":" + std::to_string(Clock.tick(wall)) +
                        ",\"ms\":" + std::to_string(wall) + Prefix +
@@ -86,15 +86,17 @@
 
   /// Logs how many lines were omitted or dropped, so that a gap in the log is
   /// not mistaken for a time without events.
-  void reportGaps() {
+  void reportOmissions() {
     for (const auto &[event, n] : Gate.takeLeftOut())
-      put(LogLevel::Warn, "lines_left_out", {{"of", event}, {"count", n}});
+      writeLine(LogLevel::Warn, "lines_left_out",
+                {{"of", event}, {"count", n}});
     const std::uint64_t dropped = Pipe ? Pipe->dropped() : 0;
-    if (dropped == DroppedTold)
+    if (dropped == DroppedReported)
       return;
-    put(LogLevel::Warn, "lines_dropped",
-        {{"why", "standard output is full"}, {"count", dropped - DroppedTold}});
-    DroppedTold = dropped;
+    writeLine(LogLevel::Warn, "lines_dropped",
+              {{"why", "standard output is full"},
+               {"count", dropped - DroppedReported}});
+    DroppedReported = dropped;
   }
 };
 
@@ -122,8 +124,8 @@
                          "%m%n");
   State->configure();
   constexpr Duration ReportPeriod = std::chrono::seconds(1);
-  State->Reporter =
-      State->Loop.every(ReportPeriod, [this] { State->reportGaps(); });
+  State->ReportTimer =
+      State->Loop.every(ReportPeriod, [this] { State->reportOmissions(); });
 }
 
 EventLog::~EventLog() = default;
@@ -135,7 +137,7 @@
   // Warnings and errors are never rate limited.
   if (level < LogLevel::Warn && !State->Gate.take(State->Loop.now(), event))
     return;
-  State->put(level, event, fields);
+  State->writeLine(level, event, fields);
 }
 
 std::uint64_t EventLog::linesDropped() const {
--- a/packages/daemon/src/ForwardFront.cpp
+++ b/packages/daemon/src/ForwardFront.cpp
@@ -57,7 +57,7 @@
 }
 
 void ForwardFront::onEvent(const ForwardEvent &event) {
-  Counters.noteForward(event);
+  Counters.recordForwardEvent(event);
   Log.write(event.Lost ? LogLevel::Warn : LogLevel::Info, event.Name,
             {{"request", event.Request},
              {"route", event.Route},
--- a/packages/daemon/src/LogGate.cpp
+++ b/packages/daemon/src/LogGate.cpp
@@ -9,11 +9,11 @@
   const auto [it, isNew] =
       Buckets.try_emplace(event, Bucket{.Tokens = Options.Burst, .At = now});
   Bucket &bucket = it->second;
-  const double grown = toSeconds(now - bucket.At) * Options.PerSecond;
-  bucket.Tokens = std::min(bucket.Tokens + grown, Options.Burst);
+  const double refilled = toSeconds(now - bucket.At) * Options.PerSecond;
+  bucket.Tokens = std::min(bucket.Tokens + refilled, Options.Burst);
   bucket.At = now;
   if (bucket.Tokens < 1) {
-    ++bucket.LeftOut;
+    ++bucket.Omitted;
     return false;
   }
   bucket.Tokens -= 1;
@@ -23,7 +23,7 @@
 std::map<std::string, std::uint64_t> LogGate::takeLeftOut() {
   std::map<std::string, std::uint64_t> result;
   for (auto &[event, bucket] : Buckets)
-    if (const auto n = std::exchange(bucket.LeftOut, 0))
+    if (const auto n = std::exchange(bucket.Omitted, 0))
       result.emplace(event, n);
   return result;
 }
--- a/packages/daemon/src/LogGate.h
+++ b/packages/daemon/src/LogGate.h
@@ -34,7 +34,7 @@
   struct Bucket {
     double Tokens = 0;
     TimePoint At;
-    std::uint64_t LeftOut = 0;
+    std::uint64_t Omitted = 0;
   };
   LogGateOptions Options;
   std::map<std::string, Bucket> Buckets;
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -22,7 +22,7 @@
 
 struct Metrics::Impl {
   prometheus::Registry Registry;
-  prometheus::Family<prometheus::Counter> &Finals =
+  prometheus::Family<prometheus::Counter> &FinalAnswers =
       prometheus::BuildCounter()
           .Name("pimentofront_requests_total")
           .Help("Final answers, by request kind and by answer")
@@ -32,7 +32,7 @@
           .Name("pimentofront_refusals_total")
           .Help("Requests refused without being run, by reason")
           .Register(Registry);
-  prometheus::Family<prometheus::Counter> &Retries =
+  prometheus::Family<prometheus::Counter> &AttemptCounts =
       prometheus::BuildCounter()
           .Name("pimentofront_attempts_total")
           .Help("Attempts to run a request on a host, over all requests")
@@ -78,16 +78,16 @@
 Metrics::Metrics() : State(new Impl) {}
 Metrics::~Metrics() = default;
 
-void Metrics::noteFinal(const KindName &kind, const FinalAnswer &answer,
-                        Duration took) {
+void Metrics::recordFinalAnswer(const KindName &kind, const FinalAnswer &answer,
+                                Duration took) {
   // An unknown kind is arbitrary text from the caller and must not become a
   // label.
   const bool invalid = answer.Reason == RefusalReason::Invalid;
-  State->Finals
+  State->FinalAnswers
       .Add({{"kind", invalid ? "-" : kind.str()},
             {"answer", finalKindName(answer.Kind)}})
       .Increment();
-  State->Retries.Add({}).Increment(answer.Attempts);
+  State->AttemptCounts.Add({}).Increment(answer.Attempts);
   if (answer.Kind == FinalKind::Refused)
     State->Refusals.Add({{"reason", refusalReasonName(answer.Reason)}})
         .Increment();
@@ -99,7 +99,7 @@
       .Observe(toSeconds(took));
 }
 
-void Metrics::noteForward(const ForwardEvent &event) {
+void Metrics::recordForwardEvent(const ForwardEvent &event) {
   State->Forwarded.Add({{"event", event.Name}}).Increment();
   if (event.Lost)
     State->Lost.Add({{"reason", event.Reason}}).Increment();
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -43,11 +43,11 @@
   Metrics &operator=(const Metrics &) = delete;
 
   /// Records a request's final answer, \p took after its arrival.
-  void noteFinal(const KindName &kind, const FinalAnswer &answer,
-                 Duration took);
+  void recordFinalAnswer(const KindName &kind, const FinalAnswer &answer,
+                         Duration took);
   void noteLoad(bool succeeded, Duration took);
   /// Records a decision of the forwarding node on a request.
-  void noteForward(const ForwardEvent &event);
+  void recordForwardEvent(const ForwardEvent &event);
   void set(const Gauges &gauges);
   /// \returns all metrics in the Prometheus text format.
   std::string text() const;
--- a/packages/daemon/src/OperatorApi.cpp
+++ b/packages/daemon/src/OperatorApi.cpp
@@ -21,13 +21,13 @@
 
 void answerChange(const ApiCall &call,
                   const std::optional<CommandOutcome> &outcome) {
-  constexpr Duration Soon = std::chrono::seconds(1);
+  constexpr Duration RetryDelay = std::chrono::seconds(1);
   if (!outcome)
     return call.fail({.Code = ConnectCode::Unavailable,
                       .Message = "not decided in time; send it again under "
                                  "the same command id",
                       .Reason = "undecided",
-                      .ComeBack = Soon});
+                      .ComeBack = RetryDelay});
   if (outcome->Result != CommandResult::Accepted) {
     std::string text = outcome->Detail;
     if (!outcome->Winner.empty())
@@ -42,7 +42,7 @@
   call.succeed(response);
 }
 
-void propose(const ApiParts &parts, TimePoint now, const ApiCall &call,
+void propose(const LocalNodes &nodes, TimePoint now, const ApiCall &call,
              const v1::Change &change, CommandBody body) {
   if (change.command_id().empty() || change.operator_().empty())
     return call.fail({.Code = ConnectCode::InvalidArgument,
@@ -54,7 +54,7 @@
                         .Operator = OperatorName(change.operator_()),
                         .BuildsOn = change.builds_on(),
                         .Body = std::move(body)};
-  parts.Entry->command(now, command,
+  nodes.Entry->command(now, command,
                        [call](const std::optional<CommandOutcome> &outcome) {
                          answerChange(call, outcome);
                        });
@@ -80,12 +80,12 @@
   to.set_changed_by(kind.ChangedBy.str());
 }
 
-void getAdapter(const ApiParts &parts, const ApiCall &call) {
+void getAdapter(const LocalNodes &nodes, const ApiCall &call) {
   v1::GetAdapterRequest message;
   if (!readOrFail(call, message))
     return;
   const auto record =
-      parts.Entry->configuration().findAdapter(AdapterName(message.adapter()));
+      nodes.Entry->configuration().findAdapter(AdapterName(message.adapter()));
   if (!record)
     return call.fail(
         {.Code = ConnectCode::NotFound, .Message = "no such adapter"});
@@ -103,9 +103,9 @@
   call.succeed(adapter);
 }
 
-void listKinds(const ApiParts &parts, const ApiCall &call) {
+void listKinds(const LocalNodes &nodes, const ApiCall &call) {
   v1::ListKindsResponse response;
-  for (const auto &[name, it] : parts.Entry->configuration().records().kinds())
+  for (const auto &[name, it] : nodes.Entry->configuration().records().kinds())
     fill(*response.add_kinds(), it);
   call.succeed(response);
 }
@@ -118,7 +118,7 @@
 /// one. A replica without an answer counts, too, and is listed as unreachable.
 struct StatusCollector {
   ApiCall Call;
-  std::size_t Missing = 0;
+  std::size_t PendingReplies = 0;
   v1::StatusResponse Response;
   const ConfigurationCopy *Copy = nullptr;
   bool AccountsOnly = false;
@@ -206,7 +206,7 @@
   } else {
     Response.add_replicas()->set_address(address);
   }
-  if (--Missing == 0)
+  if (--PendingReplies == 0)
     finish();
 }
 
@@ -238,7 +238,7 @@
   Call.succeed(Response);
 }
 
-void getStatus(const ApiParts &parts, const Settings &settings, TimePoint now,
+void getStatus(const LocalNodes &nodes, const Settings &settings, TimePoint now,
                const ApiCall &call) {
   v1::GetStatusRequest message;
   if (!readOrFail(call, message))
@@ -246,29 +246,30 @@
   auto collector = std::make_shared<StatusCollector>();
   collector->Call = call;
   collector->AccountsOnly = message.accounts_only();
-  collector->Missing = settings.Replicas.size();
-  collector->Copy = &parts.Entry->configuration();
+  collector->PendingReplies = settings.Replicas.size();
+  collector->Copy = &nodes.Entry->configuration();
   for (const std::string &address : settings.Replicas)
-    parts.Entry->admin(now, {.Action = AdminAction::Status}, address,
+    nodes.Entry->admin(now, {.Action = AdminAction::Status}, address,
                        [collector, address](const auto &reply) {
                          collector->add(address, reply);
                        });
 }
 
-void bootstrap(const ApiParts &parts, TimePoint now, const ApiCall &call) {
-  if (!parts.Replica)
+void bootstrap(const LocalNodes &nodes, TimePoint now, const ApiCall &call) {
+  if (!nodes.Replica)
     return call.fail({.Code = ConnectCode::Unimplemented,
                       .Message = "this process has no replica"});
   v1::BootstrapResponse response;
-  response.set_done(parts.Replica->bootstrap(now));
+  response.set_done(nodes.Replica->bootstrap(now));
   call.succeed(response);
 }
 
-void removeReplica(const ApiParts &parts, TimePoint now, const ApiCall &call) {
+void removeReplica(const LocalNodes &nodes, TimePoint now,
+                   const ApiCall &call) {
   v1::RemoveReplicaRequest message;
   if (!readOrFail(call, message))
     return;
-  parts.Entry->admin(
+  nodes.Entry->admin(
       now,
       {.Action = AdminAction::RemoveReplica, .Host = HostName(message.host())},
       "", [call](const std::optional<AdminReply> &reply) {
@@ -278,15 +279,15 @@
       });
 }
 
-void setDrained(const ApiParts &parts, TimePoint now, const ApiCall &call,
+void setDrained(const LocalNodes &nodes, TimePoint now, const ApiCall &call,
                 bool drained) {
   v1::DrainRequest message;
   if (readOrFail(call, message))
-    propose(parts, now, call, message.change(),
+    propose(nodes, now, call, message.change(),
             SetDrained{HostName(message.host()), drained});
 }
 
-void evacuate(const ApiParts &parts, const Settings &settings, TimePoint now,
+void evacuate(const LocalNodes &nodes, const Settings &settings, TimePoint now,
               const ApiCall &call, bool evacuated) {
   v1::EvacuateZoneRequest message;
   if (!readOrFail(call, message))
@@ -297,10 +298,11 @@
                       .Message = "no such availability zone",
                       .NotRun = true,
                       .Reason = "refused"});
-  propose(parts, now, call, message.change(), EvacuateZone{zone, evacuated});
+  propose(nodes, now, call, message.change(), EvacuateZone{zone, evacuated});
 }
 
-void releaseRequest(const ApiParts &parts, TimePoint now, const ApiCall &call) {
+void releaseRequest(const LocalNodes &nodes, TimePoint now,
+                    const ApiCall &call) {
   v1::ReleaseRequestRequest message;
   if (!readOrFail(call, message))
     return;
@@ -310,41 +312,41 @@
                       .Message = "content is a hash of 32 hexadecimal digits",
                       .NotRun = true,
                       .Reason = "invalid"});
-  propose(parts, now, call, message.change(), ReleaseQuarantine{content});
+  propose(nodes, now, call, message.change(), ReleaseQuarantine{content});
 }
 
-bool serveChange(const ApiParts &parts, const Settings &settings, TimePoint now,
-                 std::string_view method, const ApiCall &call) {
+bool serveChange(const LocalNodes &nodes, const Settings &settings,
+                 TimePoint now, std::string_view method, const ApiCall &call) {
   if (method == "CreateAdapter") {
     v1::CreateAdapterRequest message;
     if (readOrFail(call, message))
       propose(
-          parts, now, call, message.change(),
+          nodes, now, call, message.change(),
           CreateAdapter{AdapterName(message.adapter()), message.base_model()});
   } else if (method == "CreateVersion") {
     v1::CreateVersionRequest message;
     if (readOrFail(call, message))
-      propose(parts, now, call, message.change(),
+      propose(nodes, now, call, message.change(),
               CreateVersion{AdapterName(message.adapter()), message.version(),
                             message.source()});
   } else if (method == "DeclareLive") {
     v1::DeclareLiveRequest message;
     if (readOrFail(call, message))
       propose(
-          parts, now, call, message.change(),
+          nodes, now, call, message.change(),
           DeclareLive{AdapterName(message.adapter()),
                       {message.versions().begin(), message.versions().end()}});
   } else if (method == "SetKind") {
     v1::SetKindRequest message;
     if (readOrFail(call, message))
-      propose(parts, now, call, message.change(),
+      propose(nodes, now, call, message.change(),
               SetKind{toRecord(message.kind())});
   } else if (method == "Drain" || method == "Undrain") {
-    setDrained(parts, now, call, method == "Drain");
+    setDrained(nodes, now, call, method == "Drain");
   } else if (method == "EvacuateZone" || method == "RestoreZone") {
-    evacuate(parts, settings, now, call, method == "EvacuateZone");
+    evacuate(nodes, settings, now, call, method == "EvacuateZone");
   } else if (method == "ReleaseRequest") {
-    releaseRequest(parts, now, call);
+    releaseRequest(nodes, now, call);
   } else {
     return false;
   }
@@ -353,25 +355,25 @@
 
 } // namespace
 
-bool serveOperatorCall(const ApiParts &parts, const Settings &settings,
+bool serveOperatorCall(const LocalNodes &nodes, const Settings &settings,
                        TimePoint now, std::string_view method,
                        const ApiCall &call) {
   if (method == "Bootstrap") {
-    bootstrap(parts, now, call);
+    bootstrap(nodes, now, call);
     return true;
   }
-  if (!parts.Entry)
+  if (!nodes.Entry)
     return false;
   if (method == "GetAdapter")
-    getAdapter(parts, call);
+    getAdapter(nodes, call);
   else if (method == "ListKinds")
-    listKinds(parts, call);
+    listKinds(nodes, call);
   else if (method == "GetStatus")
-    getStatus(parts, settings, now, call);
+    getStatus(nodes, settings, now, call);
   else if (method == "RemoveReplica")
-    removeReplica(parts, now, call);
+    removeReplica(nodes, now, call);
   else
-    return serveChange(parts, settings, now, method, call);
+    return serveChange(nodes, settings, now, method, call);
   return true;
 }
 
--- a/packages/daemon/src/PipeAppender.cpp
+++ b/packages/daemon/src/PipeAppender.cpp
@@ -15,9 +15,10 @@
     line = line.substr(0, PIPE_BUF - 3) + "\"}";
   line += '\n';
   pollfd ready{Fd, POLLOUT, 0};
-  const bool free = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) &&
-                    !(ready.revents & (POLLERR | POLLHUP));
-  if (!free || ::write(Fd, line.data(), line.size()) < 0)
+  const bool writable = ::poll(&ready, 1, 0) == 1 &&
+                        (ready.revents & POLLOUT) &&
+                        !(ready.revents & (POLLERR | POLLHUP));
+  if (!writable || ::write(Fd, line.data(), line.size()) < 0)
     ++Dropped;
 }
 
--- a/packages/daemon/src/ServerSentEvents.cpp
+++ b/packages/daemon/src/ServerSentEvents.cpp
@@ -3,7 +3,7 @@
 namespace pimentofront {
 
 std::optional<std::string> ServerSentEvents::next() {
-  constexpr std::string_view Mark = "data:";
+  constexpr std::string_view DataPrefix = "data:";
   while (true) {
     const std::size_t end = Buffer.find('\n');
     if (end == std::string::npos)
@@ -12,9 +12,9 @@
     Buffer.erase(0, end + 1);
     if (!line.empty() && line.back() == '\r')
       line.pop_back();
-    if (!std::string_view(line).starts_with(Mark))
+    if (!std::string_view(line).starts_with(DataPrefix))
       continue;
-    const std::size_t begin = line.find_first_not_of(' ', Mark.size());
+    const std::size_t begin = line.find_first_not_of(' ', DataPrefix.size());
     return begin == std::string::npos ? "" : line.substr(begin);
   }
 }
--- a/packages/daemon/src/Settings.cpp
+++ b/packages/daemon/src/Settings.cpp
@@ -25,7 +25,7 @@
       reader.milliseconds("caller_timeout_ms", settings.CallerTimeout);
   settings.CallerBufferBytes = reader.integer(
       "caller_buffer_bytes", settings.CallerBufferBytes, 1024, 64U << 20);
-  reader.finish();
+  reader.reportUnreadKeys();
 }
 
 void readForward(SettingsReader reader, Settings &settings) {
@@ -49,18 +49,18 @@
   // Each entry takes its part of the reserve by the number of entries, which is
   // a few seconds out of date after an entry starts or stops. The margin keeps
   // the sum of the parts within the configured reserve meanwhile.
-  constexpr double SafeShare = 0.8;
-  forward.RetryReserve *= SafeShare;
+  constexpr double SafetyFactor = 0.8;
+  forward.RetryReserve *= SafetyFactor;
   forward.Servers.ZonePreference =
       reader.real("zone_preference", forward.Servers.ZonePreference, 0, 1000);
-  reader.finish();
+  reader.reportUnreadKeys();
 }
 
 void readServices(SettingsReader &reader, Settings &settings) {
   for (SettingsReader &it : reader.objects("services")) {
     ServiceAddress service{ServiceName(it.requiredText("name")),
                            it.address("address", true)};
-    it.finish();
+    it.reportUnreadKeys();
     settings.Agent.Agent.Services.push_back(service.Name);
     settings.Services.push_back(service);
   }
@@ -93,26 +93,26 @@
   agent.EngineSettleTime =
       reader.milliseconds("engine_settle_ms", agent.EngineSettleTime);
   const std::string interface = reader.text("engine_interface", "completions");
-  settings.EngineTakesOrders = interface == "orders";
-  if (!settings.EngineTakesOrders && interface != "completions")
-    reader.fault("engine_interface", "expected completions or orders");
+  settings.UsesEngineOrders = interface == "orders";
+  if (!settings.UsesEngineOrders && interface != "completions")
+    reader.addFault("engine_interface", "expected completions or orders");
   readServices(reader, settings);
   if (settings.EngineAddress.empty() != agent.BaseModel.empty())
-    reader.fault("engine",
-                 "engine and base_model go together: set both or neither");
+    reader.addFault("engine",
+                    "engine and base_model go together: set both or neither");
   if (settings.EngineAddress.empty() && settings.Services.empty())
-    reader.fault("services",
-                 "an agent needs an engine or at least one service");
+    reader.addFault("services",
+                    "an agent needs an engine or at least one service");
   if (popularity.HalfLife <= Duration::zero())
-    reader.fault("popularity_half_life_ms", "expected more than 0");
+    reader.addFault("popularity_half_life_ms", "expected more than 0");
   if (popularity.SessionHalfLife <= Duration::zero())
-    reader.fault("session_half_life_ms", "expected more than 0");
-  reader.finish();
+    reader.addFault("session_half_life_ms", "expected more than 0");
+  reader.reportUnreadKeys();
 }
 
 /// Initial number of concurrent loads when the store's capacity is measured
 /// instead of configured. With fewer, a dozen agents get their loads too late.
-constexpr std::uint32_t LeastMeasuredLoads = 8;
+constexpr std::uint32_t InitialMeasuredLoads = 8;
 
 void readReplica(SettingsReader reader, Settings &settings) {
   ReplicaNodeOptions &replica = settings.Replica;
@@ -120,7 +120,7 @@
   settings.Bootstrap = reader.flag("bootstrap", false);
   replica.Loads.Measured = reader.flag("measured_loads", false);
   if (replica.Loads.Measured)
-    replica.Loads.Concurrent = LeastMeasuredLoads;
+    replica.Loads.Concurrent = InitialMeasuredLoads;
   replica.Log.WantedVoters = static_cast<std::uint32_t>(
       reader.integer("wanted_voters", replica.Log.WantedVoters, 1, 9));
   if (reader.has("tolerated_losses")) {
@@ -135,14 +135,15 @@
   replica.Log.ElectionTimeout =
       reader.milliseconds("election_timeout_ms", replica.Log.ElectionTimeout);
   // The last repetition may be in transit for up to the duration of a call.
-  constexpr Duration CallTime = std::chrono::seconds(1);
+  constexpr Duration MaxCallDuration = std::chrono::seconds(1);
   replica.OrdersResentFor =
-      CallTime + reader.milliseconds("orders_resent_ms",
-                                     replica.OrdersResentFor - CallTime);
+      MaxCallDuration +
+      reader.milliseconds("orders_resent_ms",
+                          replica.OrdersResentFor - MaxCallDuration);
   AllotmentRules &allotments = replica.Allotments;
-  constexpr double LongestWindow = 3600;
+  constexpr double MaxWindowSeconds = 3600;
   allotments.Window = fromSeconds(reader.real(
-      "allotment_window_s", toSeconds(allotments.Window), 1, LongestWindow));
+      "allotment_window_s", toSeconds(allotments.Window), 1, MaxWindowSeconds));
   allotments.Overshoot =
       reader.real("allotment_overshoot", allotments.Overshoot, 0, 10);
   allotments.Slack = reader.real("allotment_slack", allotments.Slack, 0, 1e12);
@@ -152,11 +153,11 @@
   replica.CompactAfter = reader.integer("compact_after_entries",
                                         replica.CompactAfter, 16, MaxCount);
   if (replica.Log.ElectionTimeout < 3 * replica.Log.HeartbeatPeriod)
-    reader.fault("election_timeout_ms",
-                 "expected at least three times heartbeat_ms");
+    reader.addFault("election_timeout_ms",
+                    "expected at least three times heartbeat_ms");
   if (replica.Log.WantedVoters % 2 == 0)
-    reader.fault("wanted_voters", "expected an odd number");
-  reader.finish();
+    reader.addFault("wanted_voters", "expected an odd number");
+  reader.reportUnreadKeys();
 }
 
 void readZones(SettingsReader &reader, Settings &settings) {
@@ -164,17 +165,17 @@
     settings.Zones[ZoneName(zone)] = RegionName(region);
   settings.Forward.Forward.Regions = settings.Zones;
   if (!mayExist(settings.Zones, settings.Zone))
-    reader.fault("zones", "expected a list that contains this host's zone");
+    reader.addFault("zones", "expected a list that contains this host's zone");
 }
 
 /// Replaces the port of each address, for lists that name the replicas' hosts
 /// with the port of another service.
-void usePort(std::uint16_t port, std::vector<std::string> &addresses) {
+void replacePort(std::uint16_t port, std::vector<std::string> &addresses) {
   for (std::string &it : addresses)
     it = it.substr(0, it.rfind(':') + 1) + std::to_string(port);
 }
 
-void readTimes(SettingsReader &reader, Settings &settings) {
+void readTimings(SettingsReader &reader, Settings &settings) {
   ConfigurationCopyOptions &copy = settings.Entry.Configuration;
   copy.Lease = reader.milliseconds("configuration_lease_ms", copy.Lease);
   // The configuration's confirmation is renewed well before its lease expires.
@@ -198,16 +199,17 @@
   if (reader.has("grace_s")) {
     // The stop has to finish before the platform kills the process at the end
     // of its grace time.
-    constexpr double Reserve = 0.3;
-    constexpr double Longest = 3600;
-    const double grace = reader.real("grace_s", 1, 1, Longest);
-    settings.StopLimit = fromSeconds(grace - Reserve);
+    constexpr double StopMarginSeconds = 0.3;
+    constexpr double MaxGraceSeconds = 3600;
+    const double grace = reader.real("grace_s", 1, 1, MaxGraceSeconds);
+    settings.StopLimit = fromSeconds(grace - StopMarginSeconds);
   }
   if (copy.Lease < 2 * settings.Entry.ProbePeriod)
-    reader.fault("configuration_lease_ms",
-                 "expected at least twice probe_period_ms");
+    reader.addFault("configuration_lease_ms",
+                    "expected at least twice probe_period_ms");
   if (settings.Replica.Members.Lease < 2 * settings.Agent.RenewPeriod)
-    reader.fault("member_lease_ms", "expected at least twice renew_period_ms");
+    reader.addFault("member_lease_ms",
+                    "expected at least twice renew_period_ms");
 }
 
 void readLog(SettingsReader reader, Settings &settings) {
@@ -216,8 +218,8 @@
   const std::string &level = settings.LogLevel;
   if (level != "debug" && level != "info" && level != "warn" &&
       level != "error")
-    reader.fault("level", "expected debug, info, warn or error");
-  reader.finish();
+    reader.addFault("level", "expected debug, info, warn or error");
+  reader.reportUnreadKeys();
 }
 
 } // namespace
@@ -247,8 +249,8 @@
   const auto replicaPort =
       static_cast<std::uint16_t>(reader.integer("replica_port", 0, 0, 65535));
   if (replicaPort != 0)
-    usePort(replicaPort, settings.Replicas);
-  readTimes(reader, settings);
+    replacePort(replicaPort, settings.Replicas);
+  readTimings(reader, settings);
   readZones(reader, settings);
   if (SettingsReader log = reader.object("log"); reader.has("log"))
     readLog(log, settings);
@@ -262,15 +264,16 @@
     readReplica(replica, settings);
   if (!settings.IsEntry && !settings.IsAgent && !settings.IsReplica &&
       !settings.IsForward)
-    reader.fault("entry",
-                 "at least one role is required: entry, forward, agent "
-                 "or replica");
+    reader.addFault("entry",
+                    "at least one role is required: entry, forward, agent "
+                    "or replica");
   if (settings.Replicas.empty())
-    reader.fault("replicas", "the address of at least one replica is required");
+    reader.addFault("replicas",
+                    "the address of at least one replica is required");
   if (!settings.HttpAddress.empty() &&
       settings.HttpAddress == settings.PeerAddress)
-    reader.fault("peers", "the same address as http");
-  reader.finish();
+    reader.addFault("peers", "the same address as http");
+  reader.reportUnreadKeys();
   return settings;
 }
 
--- a/packages/daemon/src/Settings.h
+++ b/packages/daemon/src/Settings.h
@@ -51,7 +51,7 @@
   /// The agent loads adapters by orders to the engine, and entries send
   /// requests to the engine directly. Otherwise the agent runs requests through
   /// the completions API.
-  bool EngineTakesOrders = false;
+  bool UsesEngineOrders = false;
   Duration EngineProbePeriod = std::chrono::milliseconds(500);
   std::vector<ServiceAddress> Services;
   double LoadsPerSecond = 4;
--- a/packages/daemon/src/SettingsReader.cpp
+++ b/packages/daemon/src/SettingsReader.cpp
@@ -39,28 +39,28 @@
 };
 
 /// Builds the document and records the line of each value.
-class LineNotingReader : public nlohmann::detail::json_sax_dom_parser<Json> {
+class LineRecordingReader : public nlohmann::detail::json_sax_dom_parser<Json> {
 public:
   using Base = nlohmann::detail::json_sax_dom_parser<Json>;
-  LineNotingReader(SettingsDocument &document, const std::size_t &line,
-                   Findings &findings)
+  LineRecordingReader(SettingsDocument &document, const std::size_t &line,
+                      Findings &findings)
       : Base(document.Root, false), Document(document), Line(line),
         Faults(findings) {}
 
-  bool null() { return note() && Base::null(); }
-  bool boolean(bool it) { return note() && Base::boolean(it); }
+  bool null() { return recordLine() && Base::null(); }
+  bool boolean(bool it) { return recordLine() && Base::boolean(it); }
   bool number_integer(number_integer_t it) {
-    return note() && Base::number_integer(it);
+    return recordLine() && Base::number_integer(it);
   }
   bool number_unsigned(number_unsigned_t it) {
-    return note() && Base::number_unsigned(it);
+    return recordLine() && Base::number_unsigned(it);
   }
   bool number_float(number_float_t it, const string_t &text) {
-    return note() && Base::number_float(it, text);
+    return recordLine() && Base::number_float(it, text);
   }
-  bool string(string_t &it) { return note() && Base::string(it); }
+  bool string(string_t &it) { return recordLine() && Base::string(it); }
   bool start_object(std::size_t n) {
-    note();
+    recordLine();
     Path.push_back({});
     return Path.size() < DepthLimit && Base::start_object(n);
   }
@@ -76,7 +76,7 @@
     return Base::end_object();
   }
   bool start_array(std::size_t n) {
-    note();
+    recordLine();
     Path.push_back({.IsArray = true});
     return Path.size() < DepthLimit && Base::start_array(n);
   }
@@ -93,7 +93,7 @@
     std::size_t Index = 0;
     std::set<std::string> Keys;
   };
-  bool note() {
+  bool recordLine() {
     if (!Path.empty() && Path.back().IsArray)
       Path.back().Key = std::to_string(Path.back().Index++);
     std::string pointer;
@@ -116,7 +116,7 @@
                                          Findings &findings) {
   SettingsDocument document{.File = file};
   std::size_t line = 1;
-  LineNotingReader reader(document, line, findings);
+  LineRecordingReader reader(document, line, findings);
   const CountingIterator begin{text.data(), &line};
   const CountingIterator end{text.data() + text.size(), &line};
   if (!Json::sax_parse(begin, end, &reader))
@@ -126,7 +126,7 @@
   return document;
 }
 
-std::string SettingsDocument::placeOf(const std::string &pointer) const {
+std::string SettingsDocument::locationOf(const std::string &pointer) const {
   const auto it = Lines.find(pointer);
   const std::string line = it == Lines.end() ? "" : std::to_string(it->second);
   return File + ":" + line + ": " + (pointer.empty() ? "/" : pointer);
@@ -142,24 +142,25 @@
   if (value.is_object())
     Object = &value;
   else
-    Faults.add(Document.placeOf(Pointer), "expected an object");
+    Faults.add(Document.locationOf(Pointer), "expected an object");
 }
 
 bool SettingsReader::has(const std::string &key) const {
   return Object && Object->contains(key);
 }
 
-void SettingsReader::fault(const std::string &key, const std::string &message) {
+void SettingsReader::addFault(const std::string &key,
+                              const std::string &message) {
   const std::string pointer = pointerOf(key);
   const bool exists = Document.Lines.contains(pointer);
-  Faults.add(exists ? Document.placeOf(pointer)
-                    : Document.placeOf(Pointer) + (Pointer.empty() ? "" : "/") +
-                          key,
+  Faults.add(exists ? Document.locationOf(pointer)
+                    : Document.locationOf(Pointer) +
+                          (Pointer.empty() ? "" : "/") + key,
              message);
 }
 
 const Json *SettingsReader::find(const std::string &key) {
-  Known.insert(key);
+  ReadKeys.insert(key);
   return has(key) ? &Object->at(key) : nullptr;
 }
 
@@ -170,27 +171,27 @@
     return fallback;
   if (it->is_string())
     return it->get<std::string>();
-  fault(key, "expected a text");
+  addFault(key, "expected a text");
   return fallback;
 }
 
 std::string SettingsReader::requiredText(const std::string &key) {
   const std::string result = text(key, "");
   if (result.empty() && (!has(key) || Object->at(key).is_string()))
-    fault(key, "a non-empty string is required");
+    addFault(key, "a non-empty string is required");
   return result;
 }
 
 void SettingsReader::checkAddress(const std::string &pointer,
                                   const std::string &text) {
   if (!HostPort::parse(text))
-    Faults.add(Document.placeOf(pointer),
+    Faults.add(Document.locationOf(pointer),
                "expected \"ip:port\" with a numeric IPv4 address");
 }
 
 std::string SettingsReader::address(const std::string &key, bool required) {
   if (!has(key) && !required) {
-    Known.insert(key);
+    ReadKeys.insert(key);
     return "";
   }
   const std::string result = requiredText(key);
@@ -200,36 +201,35 @@
 }
 
 std::uint64_t SettingsReader::integer(const std::string &key,
-                                      std::uint64_t fallback,
-                                      std::uint64_t least, std::uint64_t most) {
+                                      std::uint64_t fallback, std::uint64_t min,
+                                      std::uint64_t max) {
   const Json *it = find(key);
   if (!it)
     return fallback;
-  if (it->is_number_unsigned() && it->get<std::uint64_t>() >= least &&
-      it->get<std::uint64_t>() <= most)
+  if (it->is_number_unsigned() && it->get<std::uint64_t>() >= min &&
+      it->get<std::uint64_t>() <= max)
     return it->get<std::uint64_t>();
-  fault(key, "expected an integer from " + std::to_string(least) + " to " +
-                 std::to_string(most));
+  addFault(key, "expected an integer from " + std::to_string(min) + " to " +
+                    std::to_string(max));
   return fallback;
 }
 
-double SettingsReader::real(const std::string &key, double fallback,
-                            double least, double most) {
+double SettingsReader::real(const std::string &key, double fallback, double min,
+                            double max) {
   const Json *it = find(key);
   if (!it)
     return fallback;
-  if (it->is_number() && it->get<double>() >= least &&
-      it->get<double>() <= most)
+  if (it->is_number() && it->get<double>() >= min && it->get<double>() <= max)
     return it->get<double>();
-  fault(key, "expected a number from " + std::to_string(least) + " to " +
-                 std::to_string(most));
+  addFault(key, "expected a number from " + std::to_string(min) + " to " +
+                    std::to_string(max));
   return fallback;
 }
 
 Duration SettingsReader::milliseconds(const std::string &key, Duration fallback,
-                                      Duration most) {
+                                      Duration max) {
   constexpr std::int64_t MicrosPerMilli = 1000;
-  const auto limit = static_cast<std::uint64_t>(most.count() / MicrosPerMilli);
+  const auto limit = static_cast<std::uint64_t>(max.count() / MicrosPerMilli);
   const auto preset =
       static_cast<std::uint64_t>(fallback.count() / MicrosPerMilli);
   return std::chrono::milliseconds(integer(key, preset, 0, limit));
@@ -241,7 +241,7 @@
     return fallback;
   if (it->is_boolean())
     return it->get<bool>();
-  fault(key, "expected true or false");
+  addFault(key, "expected true or false");
   return fallback;
 }
 
@@ -251,7 +251,7 @@
   if (!it)
     return result;
   if (!it->is_array()) {
-    fault(key, "expected an array of addresses");
+    addFault(key, "expected an array of addresses");
     return result;
   }
   for (std::size_t i = 0; i < it->size(); ++i) {
@@ -270,14 +270,14 @@
   if (!it)
     return result;
   if (!it->is_object()) {
-    fault(key, "expected an object with string values");
+    addFault(key, "expected an object with string values");
     return result;
   }
   for (const auto &[name, value] : it->items()) {
     if (value.is_string())
       result[name] = value.get<std::string>();
     else
-      fault(key, "expected texts only");
+      addFault(key, "expected texts only");
   }
   return result;
 }
@@ -288,7 +288,7 @@
   if (!it)
     return result;
   if (!it->is_array()) {
-    fault(key, "expected an array of objects");
+    addFault(key, "expected an array of objects");
     return result;
   }
   for (std::size_t i = 0; i < it->size(); ++i)
@@ -298,16 +298,16 @@
 }
 
 SettingsReader SettingsReader::object(const std::string &key) {
-  Known.insert(key);
+  ReadKeys.insert(key);
   return SettingsReader(Document, pointerOf(key), Faults);
 }
 
-void SettingsReader::finish() {
+void SettingsReader::reportUnreadKeys() {
   if (!Object)
     return;
   for (const auto &[key, value] : Object->items())
-    if (!Known.contains(key))
-      fault(key, "unknown key");
+    if (!ReadKeys.contains(key))
+      addFault(key, "unknown key");
 }
 
 } // namespace pimentofront
--- a/packages/daemon/src/SettingsReader.h
+++ b/packages/daemon/src/SettingsReader.h
@@ -21,13 +21,13 @@
   static SettingsDocument parse(const std::string &file, std::string_view text,
                                 Findings &findings);
   /// \returns "file:line: /pointer".
-  std::string placeOf(const std::string &pointer) const;
+  std::string locationOf(const std::string &pointer) const;
 };
 
 /// \class SettingsReader
 /// \brief Reads and checks the values of one object of a document. A value of
 /// the wrong type or out of range adds a finding, and the fallback is returned.
-/// Each key that is never read is a finding, too; see finish().
+/// Each key that is never read is a finding, too; see reportUnreadKeys().
 class SettingsReader {
 public:
   SettingsReader(const SettingsDocument &document, std::string pointer,
@@ -41,19 +41,18 @@
   /// \returns an address as "ip:port", or "" if it is missing.
   std::string address(const std::string &key, bool required);
   std::uint64_t integer(const std::string &key, std::uint64_t fallback,
-                        std::uint64_t least, std::uint64_t most);
-  double real(const std::string &key, double fallback, double least,
-              double most);
+                        std::uint64_t min, std::uint64_t max);
+  double real(const std::string &key, double fallback, double min, double max);
   Duration milliseconds(const std::string &key, Duration fallback,
-                        Duration most = std::chrono::hours(1));
+                        Duration max = std::chrono::hours(1));
   bool flag(const std::string &key, bool fallback);
   std::vector<std::string> addresses(const std::string &key);
   /// \returns a reader for each object in a list.
   std::vector<SettingsReader> objects(const std::string &key);
   SettingsReader object(const std::string &key);
   /// Adds a finding for each key of the object that was never read.
-  void finish();
-  void fault(const std::string &key, const std::string &message);
+  void reportUnreadKeys();
+  void addFault(const std::string &key, const std::string &message);
 
 private:
   const nlohmann::json *find(const std::string &key);
@@ -66,7 +65,7 @@
   std::string Pointer;
   Findings &Faults;
   const nlohmann::json *Object = nullptr;
-  std::set<std::string> Known;
+  std::set<std::string> ReadKeys;
 };
 
 } // namespace pimentofront
