--- a/packages/daemon/src/LogGate.h
+++ b/packages/daemon/src/LogGate.h
@@ -13,7 +13,7 @@
   /// Maximum number of lines of one event in a burst.
   double Burst = 40;
   /// Maximum long-run rate of one event, in lines per second. A line costs
-  /// about 20 microseconds, so ten events at this rate take 0.4% of a core.
+  /// about 20 microseconds, so ten events at this rate cost 0.4% of a core.
   double PerSecond = 20;
 };
 
