--- a/bench/SlopesMain.cpp
+++ b/bench/SlopesMain.cpp
@@ -213,7 +213,7 @@
   for (const int tokens : {1, 20, 100, 240}) {
     LeastPopular eviction;
     UncoordinatedLoads gate;
-    AgentController agent({.BaseModel = "m", .Slots = 6, .CompanyShare = 0},
+    AgentController agent({.BaseModel = "m", .Slots = 6, .BatchingShare = 0},
                           eviction, gate);
     TimePoint now{std::chrono::seconds(100)};
     agent.onEngineFound(now, {}, true);
@@ -246,8 +246,8 @@
     const double before = heapBytes();
     PopularityTable table({});
     for (std::size_t i = 0; i < n; ++i)
-      table.noteRequest(TimePoint(std::chrono::seconds(1)),
-                        {adapterRecord(i).Name, 1});
+      table.recordRequest(TimePoint(std::chrono::seconds(1)),
+                          {adapterRecord(i).Name, 1});
     popularity.push_back({static_cast<double>(n), heapBytes() - before});
   }
   printFit("agent: popularity bytes by adapters asked for", "B", popularity);
--- a/packages/daemon/src/ApiHandler.cpp
+++ b/packages/daemon/src/ApiHandler.cpp
@@ -119,11 +119,11 @@
   if (Nodes.Entry) {
     const ConfigurationCopy &copy = Nodes.Entry->configuration();
     gauges.Revision = static_cast<double>(copy.revision());
-    gauges.ConfigurationLeaseSeconds = toSeconds(copy.leaseLeft(now));
+    gauges.ConfigurationLeaseSeconds = toSeconds(copy.remainingLease(now));
   }
   if (Nodes.Agent) {
     const AgentBoard &board = Nodes.Agent->controller().board();
-    gauges.MemberLeaseSeconds = toSeconds(Nodes.Agent->leaseLeft(now));
+    gauges.MemberLeaseSeconds = toSeconds(Nodes.Agent->remainingLease(now));
     gauges.EngineRunning = board.runningOnEngine();
     gauges.EngineWaiting = static_cast<double>(board.WaitingCount);
     gauges.BatchCapacity = board.Options.BatchCapacity;
@@ -133,7 +133,7 @@
     const ServerSet &servers = Nodes.Forward->controller().board().Servers;
     const FeedbackCounts counts = servers.countFeedback(now);
     gauges.LimitedServers = counts.Limited;
-    gauges.RestingServers = counts.Resting;
+    gauges.RestingServers = counts.BackingOff;
     gauges.LeavingServers = counts.Leaving;
     gauges.ColdServers = counts.Cold;
     gauges.EvacuatedZones =
@@ -244,7 +244,7 @@
                         .Prompt = message.prompt(),
                         .MaxTokens = message.max_tokens(),
                         .Timeout = call.Timeout,
-                        .Resumed = message.resume_text()};
+                        .ResumeText = message.resume_text()};
   Pending pending{.Call = std::move(call),
                   .Expected =
                       stream ? ResponseKind::Stream : ResponseKind::Text};
@@ -284,7 +284,7 @@
   pending.Caller = request.Caller;
   pending.Id = request.Id;
   pending.ArrivedAt = Loop.now();
-  pending.Text = request.Resumed;
+  pending.Text = request.ResumeText;
   pending.Call.Exchange->onGone([this, key] {
     Nodes.Entry->callerGone(Loop.now(), key);
     Calls.erase(key);
@@ -414,7 +414,7 @@
                            .NotRun = refused,
                            .Reason = refused ? refusalReasonName(final.Reason)
                                              : finalKindName(final.Kind),
-                           .ComeBack = final.ComeBack};
+                           .RetryAfter = final.RetryAfter};
   if (!pending.StreamStarted)
     return pending.Call.fail(error);
   pending.Call.Exchange->sendPiece(encodeEndOfStream(&error));
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -123,7 +123,7 @@
   agent.Replicas = Options.Replicas;
   BackendDriver *driver = nullptr;
   if (Options.UsesEngineOrders) {
-    Gate = std::make_unique<SharedLoads>(SharedLoadsOptions{});
+    Gate = std::make_unique<HybridLoads>(HybridLoadsOptions{});
     Orders = std::make_unique<platform::EngineOrders>(
         Loop, *Client,
         platform::EngineOrdersOptions{
--- a/packages/daemon/src/EngineDriver.cpp
+++ b/packages/daemon/src/EngineDriver.cpp
@@ -93,7 +93,7 @@
              {"adapter", engineName(request.Key)}});
   HttpCall call = post("/v1/completions",
                        dump({{"model", engineName(request.Key)},
-                             {"prompt", request.Prompt + request.Resumed},
+                             {"prompt", request.Prompt + request.ResumeText},
                              {"max_tokens", request.MaxTokens},
                              {"stream", true},
                              {"priority", -static_cast<int>(request.Weight)}}));
@@ -254,7 +254,7 @@
 void EngineDriver::onLoadEnd(const StartLoad &load, TimePoint loadStart,
                              bool succeeded) {
   const Duration took = Loop.now() - loadStart;
-  Counters.noteLoad(succeeded, took);
+  Counters.recordLoad(succeeded, took);
   Log.write(succeeded ? LogLevel::Info : LogLevel::Warn,
             succeeded ? "adapter_loaded" : "adapter_load_failed",
             {{"adapter", load.Key.Adapter.str()},
--- a/packages/daemon/src/ForwardFront.cpp
+++ b/packages/daemon/src/ForwardFront.cpp
@@ -13,11 +13,11 @@
   Node->request(Loop.now(), key, std::move(head), std::move(body), bodyHash);
 }
 
-void ForwardFront::onCallerGone(CallerKey key) {
+void ForwardFront::onCallerDisconnected(CallerKey key) {
   Node->callerGone(Loop.now(), key);
 }
 
-HeadVerdict ForwardFront::onHead(const AttemptId &attempt, ResponseHead head) {
+HeadDecision ForwardFront::onHead(const AttemptId &attempt, ResponseHead head) {
   return Node->upstreamHead(Loop.now(), attempt, std::move(head));
 }
 
@@ -34,7 +34,7 @@
     Callers.replyPiece(piece->Key, piece->Bytes);
   else if (const auto *send = std::get_if<SendUpstream>(&command))
     Servers.send(*send);
-  else if (const auto *whole = std::get_if<ReplyWhole>(&command))
+  else if (const auto *whole = std::get_if<ReplyComplete>(&command))
     Callers.reply(whole->Key, whole->Head, whole->Body);
   else if (const auto *head = std::get_if<ReplyHead>(&command))
     Callers.replyHead(head->Key, head->Head);
@@ -51,9 +51,10 @@
 }
 
 void ForwardFront::checkServer(const CheckServer &check) {
-  Probe.start(check.Address, [this, server = check.Server](ServerLife life) {
-    Node->serverChecked(Loop.now(), server, life);
-  });
+  Probe.start(check.Address,
+              [this, server = check.Server](ServerCheckResult life) {
+                Node->serverChecked(Loop.now(), server, life);
+              });
 }
 
 void ForwardFront::onEvent(const ForwardEvent &event) {
--- a/packages/daemon/src/ForwardFront.h
+++ b/packages/daemon/src/ForwardFront.h
@@ -31,9 +31,9 @@
 
   void onRequest(CallerKey key, RequestHead head, std::string body,
                  const ContentHash &bodyHash) override;
-  void onCallerGone(CallerKey key) override;
+  void onCallerDisconnected(CallerKey key) override;
 
-  HeadVerdict onHead(const AttemptId &attempt, ResponseHead head) override;
+  HeadDecision onHead(const AttemptId &attempt, ResponseHead head) override;
   void onBody(const AttemptId &attempt, std::string_view bytes) override;
   void onEnd(const AttemptId &attempt, UpstreamEnding ending) override;
 
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -109,7 +109,7 @@
         .Observe(toSeconds(event.Took));
 }
 
-void Metrics::noteLoad(bool succeeded, Duration took) {
+void Metrics::recordLoad(bool succeeded, Duration took) {
   const char *result = succeeded ? "loaded" : "failed";
   State->Loads.Add({{"result", result}}).Increment();
   State->State.Add({{"name", "last_load_seconds"}}).Set(toSeconds(took));
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -45,7 +45,7 @@
   /// Records a request's final answer, \p took after its arrival.
   void recordFinalAnswer(const KindName &kind, const FinalAnswer &answer,
                          Duration took);
-  void noteLoad(bool succeeded, Duration took);
+  void recordLoad(bool succeeded, Duration took);
   /// Records a decision of the forwarding node on a request.
   void recordForwardEvent(const ForwardEvent &event);
   void set(const Gauges &gauges);
--- a/packages/daemon/src/OperatorApi.cpp
+++ b/packages/daemon/src/OperatorApi.cpp
@@ -27,7 +27,7 @@
                       .Message = "not decided in time; send it again under "
                                  "the same command id",
                       .Reason = "undecided",
-                      .ComeBack = RetryDelay});
+                      .RetryAfter = RetryDelay});
   if (outcome->Result != CommandResult::Accepted) {
     std::string text = outcome->Detail;
     if (!outcome->Winner.empty())
@@ -174,7 +174,7 @@
     v1::SuspectedRequest *request = Response.add_suspected_requests();
     request->set_content(it.Content.str());
     request->set_quarantined(it.Quarantined);
-    for (const ServerEnd &end : it.Ends)
+    for (const ServerExit &end : it.Exits)
       request->add_servers(end.Server.Name.str());
   }
 }
@@ -188,7 +188,7 @@
     account->set_per_second(it.PerSecond);
     account->set_burst(it.Burst);
     account->set_level(it.Level);
-    account->set_lent(it.Lent);
+    account->set_lent(it.LeasedUnits);
     account->set_granted(it.Granted);
     account->set_refused(it.Refused);
   }
@@ -293,7 +293,7 @@
   if (!readOrFail(call, message))
     return;
   const ZoneName zone(message.zone());
-  if (!mayExist(settings.Zones, zone))
+  if (!isPossibleZone(settings.Zones, zone))
     return call.fail({.Code = ConnectCode::NotFound,
                       .Message = "no such availability zone",
                       .NotRun = true,
--- a/packages/daemon/src/Settings.cpp
+++ b/packages/daemon/src/Settings.cpp
@@ -43,7 +43,8 @@
   PrefixRoutingOptions &prefix = settings.Prefix;
   prefix.OwnShare = reader.real("own_share", prefix.OwnShare, 0, 100);
   prefix.SpillShare = reader.real("spill_share", prefix.SpillShare, 0, 100);
-  prefix.Spread = reader.real("spread", prefix.Spread, 0.01, 100);
+  prefix.EnginesPerShare =
+      reader.real("spread", prefix.EnginesPerShare, 0.01, 100);
   prefix.SpillChoices = static_cast<std::uint32_t>(
       reader.integer("spill_choices", prefix.SpillChoices, 0, 64));
   // Each entry takes its part of the reserve by the number of entries, which is
@@ -84,9 +85,10 @@
   popularity.SessionHalfLife =
       reader.milliseconds("session_half_life_ms", popularity.SessionHalfLife);
   agent.StallShare = reader.real("stall_share", agent.StallShare, 0.01, 1);
-  agent.CompanyShare = reader.real("company_share", agent.CompanyShare, 0, 0.5);
-  agent.CompanyLimit =
-      reader.milliseconds("company_limit_ms", agent.CompanyLimit);
+  agent.BatchingShare =
+      reader.real("company_share", agent.BatchingShare, 0, 0.5);
+  agent.BatchingWait =
+      reader.milliseconds("company_limit_ms", agent.BatchingWait);
   agent.SpillDelay = reader.milliseconds("spill_delay_ms", agent.SpillDelay);
   settings.EngineProbePeriod =
       reader.milliseconds("engine_probe_ms", settings.EngineProbePeriod);
@@ -118,8 +120,8 @@
   ReplicaNodeOptions &replica = settings.Replica;
   settings.DataFolder = reader.requiredText("folder");
   settings.Bootstrap = reader.flag("bootstrap", false);
-  replica.Loads.Measured = reader.flag("measured_loads", false);
-  if (replica.Loads.Measured)
+  replica.Loads.MeasuresCapacity = reader.flag("measured_loads", false);
+  if (replica.Loads.MeasuresCapacity)
     replica.Loads.Concurrent = InitialMeasuredLoads;
   replica.Log.WantedVoters = static_cast<std::uint32_t>(
       reader.integer("wanted_voters", replica.Log.WantedVoters, 1, 9));
@@ -164,7 +166,7 @@
   for (const auto &[zone, region] : reader.texts("zones"))
     settings.Zones[ZoneName(zone)] = RegionName(region);
   settings.Forward.Forward.Regions = settings.Zones;
-  if (!mayExist(settings.Zones, settings.Zone))
+  if (!isPossibleZone(settings.Zones, settings.Zone))
     reader.addFault("zones", "expected a list that contains this host's zone");
 }
 
