--- a/bench/SlopesMain.cpp
+++ b/bench/SlopesMain.cpp
@@ -1,9 +1,9 @@
-//===- SlopesMain.cpp - What each role costs, by size -----------*- C++ -*-===//
+//===- SlopesMain.cpp - Cost of each role by size ---------------*- C++ -*-===//
 ///
-/// Measures state, message sizes and processor time of the roles at several
-/// sizes and fits a line to each: cost = base + slope x size. The figures of
-/// docs/CAPACITY.md are made of these slopes. With "--make-folder DIR N
-/// ADDRESS" it writes a replica's data folder with N adapters instead.
+/// Measures memory, message sizes and processor time of each role at several
+/// sizes and fits a line to each: cost = base + slope x size. docs/CAPACITY.md
+/// computes its figures from these slopes. With "--make-folder DIR N ADDRESS"
+/// the program instead writes a replica's data folder with N adapters.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// \returns processor time of this process, in microseconds.
+/// \returns the processor time of this process in microseconds.
 double processorMicros() {
   timespec ts{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &ts);
@@ -38,7 +38,8 @@
   double Cost = 0;
 };
 
-/// Least squares; prints base, slope and the largest deviation from the line.
+/// Fits a line by least squares; prints its base, its slope and the largest
+/// deviation of a point.
 void printFit(const char *what, const char *unit,
               const std::vector<Point> &points) {
   const auto n = static_cast<double>(points.size());
@@ -80,9 +81,10 @@
           .BatchCapacity = 16};
 }
 
-/// Runs \p action over and over for a while. \returns microseconds a call.
-template <class Action> double timeOf(Action &&action) {
-  constexpr double EnoughMicros = 200'000;
+/// Repeats \p action for at least 200 ms of processor time.
+/// \returns the mean processor time per call in microseconds.
+template <class Action> double microsPerCall(Action &&action) {
+  constexpr double MinMicros = 200'000;
   std::uint64_t calls = 0;
   const double begin = processorMicros();
   double spent = 0;
@@ -91,7 +93,7 @@
       action();
     calls += 16;
     spent = processorMicros() - begin;
-  } while (spent < EnoughMicros);
+  } while (spent < MinMicros);
   return spent / static_cast<double>(calls);
 }
 
@@ -109,7 +111,7 @@
       configuration.put(adapterRecord(i));
     memory.push_back({static_cast<double>(n), heapBytes() - before});
     std::size_t i = 0;
-    lookup.push_back({static_cast<double>(n), timeOf([&] {
+    lookup.push_back({static_cast<double>(n), microsPerCall([&] {
                         i = (i + 7919) % n;
                         (void)configuration.findAdapter(adapterRecord(i).Name);
                       })});
@@ -131,7 +133,7 @@
     AffinityRouting routing({});
     std::size_t i = 0;
     routes.push_back(
-        {static_cast<double>(n), timeOf([&] {
+        {static_cast<double>(n), microsPerCall([&] {
            const std::vector<TriedHost> tried;
            const AdapterKey key{AdapterName(std::to_string(++i)), 1};
            (void)routing.choose(
@@ -146,7 +148,7 @@
   const double before = heapBytes();
   for (std::size_t i = 0; i < 8192; ++i)
     routing.learn({adapterRecord(i).Name, 1}, HostName("worker-1"), true);
-  std::printf("%-46s %.0f B\n", "hints of an entry at their limit (8192)",
+  std::printf("%-46s %.0f B\n", "hints of an entry at their maximum (8192)",
               heapBytes() - before);
 }
 
@@ -159,8 +161,10 @@
 void printSize(const char *what, const Message &message) {
   constexpr HybridTime Now = 1'790'000'000'000ULL << 16;
   const std::string bytes = encodeFrame({Now, message});
-  const double encode = timeOf([&] { (void)encodeFrame({Now, message}); });
-  const double decode = timeOf([&] { (void)decodeFrame(bytes); });
+  const double encode = microsPerCall([&] {
+    (void)encodeFrame({Now, message});
+  });
+  const double decode = microsPerCall([&] { (void)decodeFrame(bytes); });
   std::printf("%-46s %zu B, encode %.2f us, decode %.2f us\n", what,
               bytes.size() + WebSocketOverhead, encode, decode);
 }
@@ -215,7 +219,7 @@
     agent.onEngineFound(now, {}, true);
     agent.onEngineFound(now + std::chrono::seconds(5), {}, true);
     std::uint64_t n = 0;
-    const auto serve = [&] {
+    const auto serveRequest = [&] {
       const AttemptId attempt{1, ++n};
       const AdapterKey key{AdapterName("adapter-" + std::to_string(n % 6)), 1};
       agent.onExecute(now, 1,
@@ -231,8 +235,9 @@
       (void)agent.takeCommands();
     };
     for (int i = 0; i < 6; ++i)
-      serve();
-    points.push_back({static_cast<double>(tokens), timeOf(serve)});
+      serveRequest();
+    points.push_back(
+        {static_cast<double>(tokens), microsPerCall(serveRequest)});
   }
   printFit("agent: decisions for a request by tokens", "us", points);
 
@@ -252,7 +257,7 @@
 // Replica
 //===----------------------------------------------------------------------===//
 
-/// Counts what is sent, encoded as on the wire.
+/// Counts the bytes of sent messages, encoded as on the wire.
 class CountingTransport : public Transport {
 public:
   LinkId open(const std::string &, LinkPurpose) override { return 1; }
@@ -279,7 +284,7 @@
       subscribers.add(i, {.Host = HostName("e"), .Known = revision});
     AdapterRecord record = adapterRecord(5);
     int rounds = 0;
-    pushes.push_back({static_cast<double>(n), timeOf([&] {
+    pushes.push_back({static_cast<double>(n), microsPerCall([&] {
                         record.ChangedAt = ++revision;
                         configuration.put(record);
                         configuration.advance(revision);
@@ -299,7 +304,7 @@
     const TimePoint now{std::chrono::seconds(1)};
     for (std::size_t i = 0; i < n; ++i)
       members.announce(now, memberRecord(i));
-    renewals.push_back({static_cast<double>(n), timeOf([&] {
+    renewals.push_back({static_cast<double>(n), microsPerCall([&] {
                           for (std::size_t i = 0; i < n; ++i)
                             members.renew(now, memberRecord(i).Host,
                                           memberRecord(i).Incarnation);
@@ -313,7 +318,7 @@
     LoadScheduler scheduler({});
     const TimePoint now{std::chrono::seconds(1)};
     std::size_t i = 0;
-    const auto tell = [&] {
+    const auto addDemand = [&] {
       ++i;
       scheduler.onDemand(now, {memberRecord(i % n).Host,
                                1,
@@ -322,8 +327,8 @@
                                std::chrono::seconds(9)});
     };
     for (std::size_t j = 0; j < n; ++j)
-      tell();
-    demands.push_back({static_cast<double>(n), timeOf(tell)});
+      addDemand();
+    demands.push_back({static_cast<double>(n), microsPerCall(addDemand)});
   }
   printFit("scheduler: a demand, time by demands waiting", "us", demands);
 
@@ -386,8 +391,8 @@
       times.push_back(took.count());
     }
     std::ranges::sort(times);
-    std::printf("disk: %3d entries and a sync%21s median %.3f ms, p99 %.3f ms, "
-                "%.0f entries a second\n",
+    std::printf("disk: %3d entries per sync%23s median %.3f ms, p99 %.3f ms, "
+                "%.0f entries per second\n",
                 batch, "", times[50], times[98], batch / times[50] * 1000);
   }
   fs::remove_all(folder);
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -25,7 +25,7 @@
     : Options(settings), Wall(Loop), Incarnation(randomNumber()) {}
 
 Daemon::~Daemon() {
-  // Timers call into what is destroyed after them.
+  // The timers' callbacks use members, so the timers are destroyed first.
   FlushTimer.reset();
   StopTimer.reset();
   StoreTimer.reset();
@@ -39,7 +39,8 @@
   if (!store) {
     std::fprintf(stderr, "%s: %s\n", Options.DataFolder.c_str(),
                  store.error().Detail.c_str());
-    // A disk that takes no writes may take them later; damage stays.
+    // A disk that rejects writes may accept them later, so opening is retried;
+    // damaged data does not recover.
     return store.error().What == LogStoreError::Kind::Unwritable
                ? ExitCode::Good
                : ExitCode::Data;
@@ -94,14 +95,15 @@
   Replica = std::make_unique<ReplicaNode>(now, replica, Stored, *Store,
                                           *Network, Wall);
   Stored = StoredLog();
-  // Reading the state took several times its memory for a moment.
+  // Loading the state temporarily allocates several times its size; return that
+  // memory to the operating system.
   malloc_trim(0);
   Control->setReplica(Replica.get());
   bootstrapIfFirst(now);
 }
 
-/// All replicas start with the same list; the first one forms the group, and
-/// the others ask it to be taken in.
+/// All replicas start with the same list of addresses. The replica with the
+/// smallest address forms the group, and the others ask to join it.
 void Daemon::bootstrapIfFirst(TimePoint now) {
   const auto first = std::ranges::min_element(Options.Replicas);
   if (!Options.Bootstrap || *first != Options.PeerAddress ||
@@ -120,7 +122,7 @@
   agent.Address = Options.PeerAddress;
   agent.Replicas = Options.Replicas;
   BackendDriver *driver = nullptr;
-  if (Options.EngineTakesOrders) {
+  if (Options.UsesEngineOrders) {
     Gate = std::make_unique<HybridLoads>(HybridLoadsOptions{});
     Orders = std::make_unique<platform::EngineOrders>(
         Loop, *Client,
@@ -170,7 +172,7 @@
                                           *ForwardRouting, *Network, *Front);
   Front->setNode(*Forward);
   Control->setReady(
-      [this] { return Forward->ready(Loop.now()) && !StopBegan; });
+      [this] { return Forward->ready(Loop.now()) && !StopStartedAt; });
 }
 
 void Daemon::createNodes() {
@@ -185,7 +187,7 @@
     createEntry(now);
   if (Options.IsForward)
     createForward(now);
-  Api->setParts({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
+  Api->setNodes({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
 }
 
 ExitCode Daemon::run() {
@@ -217,7 +219,7 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Links: each node takes what is its own
+// Links: every node gets all events and ignores those of other nodes
 //===----------------------------------------------------------------------===//
 
 void Daemon::onLinkOpen(LinkId link, const Hello &hello) {
@@ -239,7 +241,7 @@
   const TimePoint now = Loop.now();
   if (Replica) {
     Replica->onMessage(now, link, message);
-    flushSoon();
+    scheduleFlush();
   }
   if (Agent)
     Agent->onMessage(now, link, message);
@@ -254,7 +256,8 @@
   const auto peer = Peers.extract(link);
   Log->write(
       LogLevel::Info, "peer_lost",
-      {{"peer", peer ? peer.mapped().str() : "never reached"}, {"link", link}});
+      {{"peer", peer ? peer.mapped().str() : "connection never established"},
+       {"link", link}});
   if (Replica)
     Replica->onLinkClosed(now, link);
   if (Agent)
@@ -265,8 +268,9 @@
     Forward->onLinkClosed(now, link);
 }
 
-/// All messages of one turn of the loop share one sync of the disk.
-void Daemon::flushSoon() {
+/// Flushes after the current iteration of the event loop, so that all messages
+/// of one iteration share one sync of the disk.
+void Daemon::scheduleFlush() {
   if (FlushTimer)
     return;
   FlushTimer = Loop.after(Duration::zero(), [this] {
@@ -277,14 +281,14 @@
 }
 
 //===----------------------------------------------------------------------===//
-// Time and the end
+// Periodic work and shutdown
 //===----------------------------------------------------------------------===//
 
 void Daemon::tick() {
   const TimePoint now = Loop.now();
   if (Replica) {
     Replica->tick(now);
-    noteReplicaChanges();
+    checkReplicaState();
   }
   if (Agent)
     Agent->tick(now);
@@ -309,7 +313,7 @@
 
 } // namespace
 
-/// One line for each change of what this replica believes of its group.
+/// Logs each change of the group's state as this replica sees it.
 void Daemon::logGroupState() {
   const ReplicatedLog &log = Replica->log();
   const ReplicaDescriptor *leader = log.leader();
@@ -333,13 +337,13 @@
               {"last", log.lastIndex()}});
 }
 
-void Daemon::noteReplicaChanges() {
+void Daemon::checkReplicaState() {
   logGroupState();
   const bool leads = Replica->log().holdsLease(Loop.now());
-  if (leads != Led)
+  if (leads != WasLeading)
     Log->write(LogLevel::Info, leads ? "leader_began" : "leader_ended",
                {{"term", Replica->log().term()}});
-  Led = leads;
+  WasLeading = leads;
   if (!Replica->storeError())
     return;
   Log->write(LogLevel::Error, "store_failed",
@@ -347,23 +351,24 @@
   closeReplica();
 }
 
-/// A replica that can't remember must not take part. What the folder holds is
-/// read anew, once the disk takes writes again: nothing that was promised to
-/// anybody is missing there.
+/// Stops the replica after a failed write, since a replica that cannot persist
+/// its state must not take part in the group. Once the disk accepts writes
+/// again, the state is read back from the data folder, which has everything
+/// that the replica has promised to others.
 void Daemon::closeReplica() {
   Control->setReplica(nullptr);
-  Api->setParts({Entry.get(), Agent.get(), nullptr, Forward.get()});
+  Api->setNodes({Entry.get(), Agent.get(), nullptr, Forward.get()});
   Replica.reset();
   Store.reset();
-  Led = false;
+  WasLeading = false;
   LoggedGroup = {};
   Network->closeAll();
   retryStoreLater();
 }
 
 void Daemon::retryStoreLater() {
-  constexpr Duration Pause = std::chrono::milliseconds(500);
-  StoreTimer = Loop.after(Pause, [this] {
+  constexpr Duration RetryDelay = std::chrono::milliseconds(500);
+  StoreTimer = Loop.after(RetryDelay, [this] {
     const auto keep = std::move(StoreTimer);
     if (openStore() != ExitCode::Good) {
       StoreFailed = true;
@@ -374,21 +379,22 @@
     Log->write(LogLevel::Info, "store_opened_again", {});
     Network->setReplica(Stored.Id);
     createReplica(Loop.now());
-    Api->setParts({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
+    Api->setNodes({Entry.get(), Agent.get(), Replica.get(), Forward.get()});
   });
 }
 
 void Daemon::beginStop() {
-  if (StopBegan)
+  if (StopStartedAt)
     return;
-  StopBegan = Loop.now();
+  StopStartedAt = Loop.now();
   Log->write(LogLevel::Info, "stop_began", {});
   Api->beginStop();
   if (Front)
     Front->beginStop();
   if (Agent)
     Agent->leave(Loop.now());
-  // The balancer sees that this entry isn't ready before it refuses anything.
+  // Gives the load balancer time to see that this process is not ready before
+  // it refuses requests.
   StopTimer = Loop.after(Options.StopNotice, [this] {
     if (Entry)
       Entry->stop();
@@ -404,7 +410,7 @@
 }
 
 void Daemon::continueStop() {
-  const bool late = Loop.now() - *StopBegan > Options.StopLimit;
+  const bool late = Loop.now() - *StopStartedAt > Options.StopLimit;
   if (!idle() && !late)
     return;
   if (!idle())
@@ -412,9 +418,9 @@
                {{"limit_seconds", toSeconds(Options.StopLimit)}});
   if (Agent)
     Agent->sayGoodbye(Loop.now());
-  // The goodbye has to leave the process.
-  constexpr Duration Farewell = std::chrono::milliseconds(100);
-  StopTimer = Loop.after(Farewell, [this] { Loop.stop(); });
+  // Gives the leave message time to be sent.
+  constexpr Duration LeaveMessageDelay = std::chrono::milliseconds(100);
+  StopTimer = Loop.after(LeaveMessageDelay, [this] { Loop.stop(); });
 }
 
 } // namespace pimentofront
--- a/packages/daemon/src/EventLog.cpp
+++ b/packages/daemon/src/EventLog.cpp
@@ -13,7 +13,7 @@
 namespace pimentofront {
 namespace {
 
-/// \returns \p text as a JSON string; what isn't UTF-8 is replaced.
+/// \returns \p text as a JSON string, with invalid UTF-8 replaced.
 std::string quoted(const std::string &text) {
   return nlohmann::json(text).dump(-1, ' ', false,
                                    nlohmann::json::error_handler_t::replace);
@@ -56,12 +56,12 @@
   log4cplus::helpers::Properties Properties;
   log4cplus::Initializer Library;
   log4cplus::Logger Logger;
-  /// Set when lines go to standard output.
+  /// The appender for standard output; null when lines go to a file.
   PipeAppender *Pipe = nullptr;
   bool Console = false;
   LogGate Gate;
-  std::uint64_t DroppedTold = 0;
-  std::unique_ptr<Timer> Reporter;
+  std::uint64_t DroppedReported = 0;
+  std::unique_ptr<Timer> ReportTimer;
 
   void configure() {
     log4cplus::PropertyConfigurator(Properties).configure();
@@ -72,8 +72,8 @@
     Logger.addAppender(log4cplus::SharedAppenderPtr(Pipe));
   }
 
-  void put(LogLevel level, const char *event,
-           std::initializer_list<LogField> fields) {
+  void writeLine(LogLevel level, const char *event,
+                 std::initializer_list<LogField> fields) {
     const std::uint64_t wall = Loop.wallMilliseconds();
     std::string line = "{\"hlc\":" + std::to_string(Clock.tick(wall)) +
                        ",\"ms\":" + std::to_string(wall) + Prefix +
@@ -84,16 +84,19 @@
     Logger.log(levelOf(level), line + "}");
   }
 
-  /// Says what was left out, so that a gap is never taken for silence.
-  void reportGaps() {
+  /// Logs how many lines were omitted or dropped, so that a gap in the log is
+  /// not mistaken for a time without events.
+  void reportOmissions() {
     for (const auto &[event, n] : Gate.takeLeftOut())
-      put(LogLevel::Warn, "lines_left_out", {{"of", event}, {"count", n}});
+      writeLine(LogLevel::Warn, "lines_left_out",
+                {{"of", event}, {"count", n}});
     const std::uint64_t dropped = Pipe ? Pipe->dropped() : 0;
-    if (dropped == DroppedTold)
+    if (dropped == DroppedReported)
       return;
-    put(LogLevel::Warn, "lines_dropped",
-        {{"why", "standard output is full"}, {"count", dropped - DroppedTold}});
-    DroppedTold = dropped;
+    writeLine(LogLevel::Warn, "lines_dropped",
+              {{"why", "standard output is full"},
+               {"count", dropped - DroppedReported}});
+    DroppedReported = dropped;
   }
 };
 
@@ -103,7 +106,8 @@
   State->Prefix = ",\"host\":" + quoted(settings.Host.str()) +
                   ",\"zone\":" + quoted(settings.Zone.str());
   auto &properties = State->Properties;
-  // The library starts threads of its own; one, which idles, is the least.
+  // log4cplus starts a thread pool; its minimum is one thread, which stays
+  // idle.
   properties.setProperty("log4cplus.threadPoolSize", "1");
   State->Console = settings.LogFile == "-";
   properties.setProperty("log4cplus.rootLogger",
@@ -120,8 +124,8 @@
                          "%m%n");
   State->configure();
   constexpr Duration ReportPeriod = std::chrono::seconds(1);
-  State->Reporter =
-      State->Loop.every(ReportPeriod, [this] { State->reportGaps(); });
+  State->ReportTimer =
+      State->Loop.every(ReportPeriod, [this] { State->reportOmissions(); });
 }
 
 EventLog::~EventLog() = default;
@@ -130,10 +134,10 @@
                      std::initializer_list<LogField> fields) {
   if (!State->Logger.isEnabledFor(levelOf(level)))
     return;
-  // What goes wrong is never left out.
+  // Warnings and errors are never rate limited.
   if (level < LogLevel::Warn && !State->Gate.take(State->Loop.now(), event))
     return;
-  State->put(level, event, fields);
+  State->writeLine(level, event, fields);
 }
 
 std::uint64_t EventLog::linesDropped() const {
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -22,30 +22,30 @@
 
 struct Metrics::Impl {
   prometheus::Registry Registry;
-  prometheus::Family<prometheus::Counter> &Finals =
+  prometheus::Family<prometheus::Counter> &FinalAnswers =
       prometheus::BuildCounter()
           .Name("pimentofront_requests_total")
-          .Help("Final answers, by kind of request and of answer")
+          .Help("Final answers, by request kind and by answer")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Refusals =
       prometheus::BuildCounter()
           .Name("pimentofront_refusals_total")
-          .Help("Requests that were not run, by reason")
+          .Help("Requests refused without being run, by reason")
           .Register(Registry);
-  prometheus::Family<prometheus::Counter> &Retries =
+  prometheus::Family<prometheus::Counter> &AttemptCounts =
       prometheus::BuildCounter()
           .Name("pimentofront_attempts_total")
-          .Help("Attempts at hosts, over all requests")
+          .Help("Attempts to run a request on a host, over all requests")
           .Register(Registry);
   prometheus::Family<prometheus::Histogram> &Stalls =
       prometheus::BuildHistogram()
           .Name("pimentofront_load_stall_seconds")
-          .Help("Time that an answered request waited for its adapter")
+          .Help("Time that an answered request waited for its adapter to load")
           .Register(Registry);
   prometheus::Family<prometheus::Histogram> &Latencies =
       prometheus::BuildHistogram()
           .Name("pimentofront_request_seconds")
-          .Help("Time from request to final answer, of answered ones")
+          .Help("Time from arrival to final answer, for answered requests")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Loads =
       prometheus::BuildCounter()
@@ -55,17 +55,18 @@
   prometheus::Family<prometheus::Counter> &Forwarded =
       prometheus::BuildCounter()
           .Name("pimentofront_forward_events_total")
-          .Help("Decisions about requests that are passed on, by event")
+          .Help("Decisions on forwarded requests, by event")
           .Register(Registry);
   prometheus::Family<prometheus::Counter> &Lost =
       prometheus::BuildCounter()
           .Name("pimentofront_forward_lost_total")
-          .Help("Requests without a backend server's answer, by reason")
+          .Help("Forwarded requests without an answer of a backend server, by "
+                "reason")
           .Register(Registry);
   prometheus::Family<prometheus::Histogram> &ForwardTimes =
       prometheus::BuildHistogram()
           .Name("pimentofront_forward_seconds")
-          .Help("Time from a request's arrival to an event, by route")
+          .Help("Time from a request's arrival to an event, by event and route")
           .Register(Registry);
   prometheus::Family<prometheus::Gauge> &State =
       prometheus::BuildGauge()
@@ -77,15 +78,16 @@
 Metrics::Metrics() : State(new Impl) {}
 Metrics::~Metrics() = default;
 
-void Metrics::noteFinal(const KindName &kind, const FinalAnswer &answer,
-                        Duration took) {
-  // A kind that doesn't exist is the caller's text: it must not become a label.
+void Metrics::recordFinalAnswer(const KindName &kind, const FinalAnswer &answer,
+                                Duration took) {
+  // An unknown kind is arbitrary text from the caller and must not become a
+  // label.
   const bool invalid = answer.Reason == RefusalReason::Invalid;
-  State->Finals
+  State->FinalAnswers
       .Add({{"kind", invalid ? "-" : kind.str()},
             {"answer", finalKindName(answer.Kind)}})
       .Increment();
-  State->Retries.Add({}).Increment(answer.Attempts);
+  State->AttemptCounts.Add({}).Increment(answer.Attempts);
   if (answer.Kind == FinalKind::Refused)
     State->Refusals.Add({{"reason", refusalReasonName(answer.Reason)}})
         .Increment();
@@ -97,7 +99,7 @@
       .Observe(toSeconds(took));
 }
 
-void Metrics::noteForward(const ForwardEvent &event) {
+void Metrics::recordForwardEvent(const ForwardEvent &event) {
   State->Forwarded.Add({{"event", event.Name}}).Increment();
   if (event.Lost)
     State->Lost.Add({{"reason", event.Reason}}).Increment();
--- a/packages/daemon/src/PipeAppender.cpp
+++ b/packages/daemon/src/PipeAppender.cpp
@@ -9,14 +9,16 @@
 
 void PipeAppender::append(const log4cplus::spi::InternalLoggingEvent &event) {
   std::string line = event.getMessage();
-  // A pipe that is ready takes this much without waiting, and as one piece.
+  // A pipe that polls as writable accepts up to PIPE_BUF bytes atomically and
+  // without blocking.
   if (line.size() >= PIPE_BUF)
     line = line.substr(0, PIPE_BUF - 3) + "\"}";
   line += '\n';
   pollfd ready{Fd, POLLOUT, 0};
-  const bool free = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) &&
-                    !(ready.revents & (POLLERR | POLLHUP));
-  if (!free || ::write(Fd, line.data(), line.size()) < 0)
+  const bool writable = ::poll(&ready, 1, 0) == 1 &&
+                        (ready.revents & POLLOUT) &&
+                        !(ready.revents & (POLLERR | POLLHUP));
+  if (!writable || ::write(Fd, line.data(), line.size()) < 0)
     ++Dropped;
 }
 
