--- a/packages/testkit/pimentofront/Testkit.h
+++ b/packages/testkit/pimentofront/Testkit.h
@@ -1,10 +1,11 @@
-//===- Testkit.h - A small world in virtual time ----------------*- C++ -*-===//
+//===- Testkit.h - Simulation in virtual time -------------------*- C++ -*-===//
 ///
 /// \file
 /// \defgroup Testkit Testkit
-/// The real nodes, as processes of a world with its own clock: links with
-/// delays and cuts, fake engines, services and a weight store, callers, and a
-/// ledger that checks what must always hold. Scenarios and replays run on it.
+/// A deterministic discrete-event simulation that runs the production node
+/// classes in simulated processes on one virtual clock. It simulates links with
+/// delays and network partitions, engines, services, a weight store and
+/// callers. A ledger checks the invariants. Scenarios and replays run on it.
 /// The same seed gives the same run.
 ///
 //===----------------------------------------------------------------------===//
@@ -13,7 +14,7 @@
 
 #include "pimentofront/Node.h"
 
-// The parts, in the order of their dependencies.
+// In the order of their dependencies.
 // clang-format off
 #include "src/Testkit/Ledger.h"
 #include "src/Testkit/FakeBackend.h"
--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
@@ -68,12 +68,13 @@
     return false;
   Book.started(Time.now(), request);
   if (!Resident.contains(request.Key))
-    Book.violation(Time.now(),
-                   request.Request.str() + " was started without its adapter");
+    Book.violation(Time.now(), request.Request.str() +
+                                   " was started without its adapter loaded");
   if (Running.size() >= Options.BatchCapacity)
-    Book.violation(Time.now(), "an engine got more than its batch");
+    Book.violation(Time.now(),
+                   "an engine got more requests than its batch capacity");
   Work work{.Request = request};
-  // Goes on where an earlier attempt broke off.
+  // Continues after the text that an earlier attempt generated.
   work.Position =
       static_cast<std::uint64_t>(std::ranges::count(request.Resumed, ' '));
   work.End = work.Position + request.MaxTokens;
@@ -169,12 +170,13 @@
   if (load.Victim) {
     for (const auto &[attempt, work] : Running)
       if (work.Request.Key == *load.Victim)
-        Book.violation(Time.now(), load.Victim->Adapter.str() +
-                                       " was evicted under a request");
+        Book.violation(Time.now(),
+                       load.Victim->Adapter.str() +
+                           " was evicted while a request was using it");
     Resident.erase(*load.Victim);
   }
   if (Resident.size() + Loading.size() >= Options.Slots) {
-    Book.violation(Time.now(), "an engine was asked for more than its slots");
+    Book.violation(Time.now(), "an engine got more adapters than its slots");
     return done(false);
   }
   ++Figures.Loads;
--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.h
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.h
@@ -10,7 +10,7 @@
 
 /// \class Schedule
 /// \ingroup Testkit
-/// \brief Calls at later times of the world.
+/// \brief Clock and timer queue of the simulation.
 class Schedule {
 public:
   virtual ~Schedule() = default;
@@ -22,13 +22,15 @@
 /// \ingroup Testkit
 struct WeightStoreOptions {
   double LoadsPerSecond = 4;
-  /// Throughput when several loads share the store, against one at a time.
+  /// Total throughput with several concurrent loads, relative to one load at a
+  /// time.
   double SharedEfficiency = 0.8;
 };
 
 /// \class FakeWeightStore
 /// \ingroup Testkit
-/// \brief Loads that share its rate; full speed with one at a time.
+/// \brief A weight store whose throughput is divided evenly among the loads in
+/// progress. A load of a source that begins with "missing:" fails.
 class FakeWeightStore {
 public:
   FakeWeightStore(Schedule &schedule, const WeightStoreOptions &options)
@@ -58,19 +60,21 @@
 
 /// \class FakeEngineOptions
 /// \ingroup Testkit
-/// \brief Cost of a step grows with the batch and with its distinct adapters.
+/// \brief Cost model of a step, which grows with the batch size and with the
+/// number of distinct adapters in the batch.
 struct FakeEngineOptions {
   std::uint32_t Slots = 6;
   std::uint32_t BatchCapacity = 16;
   Duration StepBase = std::chrono::microseconds(10000);
   Duration StepPerRequest = std::chrono::microseconds(300);
   Duration StepPerAdapter = std::chrono::microseconds(700);
-  /// Added to the step in which a request joins.
+  /// Added to the first step of a request.
   Duration Prefill = std::chrono::milliseconds(40);
-  /// The same when its prefix is in the cache.
+  /// Added instead when the request's prefix is cached.
   Duration PrefillCached = std::chrono::milliseconds(8);
+  /// Number of prefixes in the cache.
   std::size_t PrefixCache = 64;
-  /// Tokens in one message.
+  /// Tokens in one streamed message.
   std::uint32_t TokensPerPiece = 8;
 };
 
@@ -78,7 +82,7 @@
 /// \ingroup Testkit
 struct EngineFigures {
   std::uint64_t Steps = 0;
-  /// Requests, summed over the steps.
+  /// Batch sizes, summed over the steps.
   std::uint64_t Served = 0;
   std::uint64_t Loads = 0;
   std::uint64_t FailedLoads = 0;
@@ -86,8 +90,9 @@
 
 /// \class FakeEngine
 /// \ingroup Testkit
-/// \brief An engine that batches continuously. It outlives its agent, and
-/// notes in the ledger whatever an engine must never be asked.
+/// \brief An engine with continuous batching. It outlives its agent's process,
+/// and reports each order that breaks the engine's contract to the ledger as a
+/// violation.
 class FakeEngine {
 public:
   struct Callbacks {
@@ -99,20 +104,21 @@
              FakeWeightStore &store, Ledger &ledger)
       : Time(schedule), Options(options), Store(store), Book(ledger) {}
 
-  /// The agent that is connected; a new one replaces it.
+  /// Connects an agent; replaces the one that was connected before.
   void attach(Callbacks callbacks) { Calls = std::move(callbacks); }
   void detach() { Calls = {}; }
-  /// \param knownAs the start of the engine that the agent knows of.
-  /// \returns false when the engine has started anew and refuses.
+  /// \param knownAs the engine's startedAt() as the agent last saw it.
+  /// \returns false if the engine is down, or if it has restarted since and
+  /// doesn't hold the adapter.
   bool generate(const ExecuteRequest &request, std::uint64_t knownAs);
   void cancel(const AttemptId &attempt);
   void load(const StartLoad &load, std::function<void(bool)> done);
-  /// Starts anew: cold, nothing runs.
+  /// Restarts the engine: its adapters, caches and running requests are gone.
   void restart();
   void setDown(bool down);
 
   bool down() const { return Down; }
-  /// Sign of the engine's process; changes with each start.
+  /// Identifies the engine's process; changes with each restart.
   std::uint64_t startedAt() const { return Generation; }
   bool idle() const { return Running.empty(); }
   std::vector<AdapterKey> resident() const {
@@ -140,7 +146,7 @@
   Ledger &Book;
   Callbacks Calls;
   std::set<AdapterKey> Resident;
-  /// Orders to load in progress, and who waits for them.
+  /// Loads in progress and their completion callbacks.
   std::map<AdapterKey, std::function<void(bool)>> Loading;
   std::map<AttemptId, Work> Running;
   std::vector<AttemptId> Joining;
@@ -153,7 +159,7 @@
 
 /// \class FakeService
 /// \ingroup Testkit
-/// \brief A plain service whose calls may not be repeated.
+/// \brief A plain service with non-idempotent calls.
 class FakeService {
 public:
   FakeService(Schedule &schedule, Ledger &ledger, Duration delay)
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -19,7 +19,7 @@
   return HostName("entry-" + std::to_string(i));
 }
 
-/// The host of a server, where its agent listens.
+/// \returns the host of server \p i; its agent listens there.
 HostName agentName(std::uint32_t i) {
   return HostName("10.0.0." + std::to_string(i) + ":9");
 }
@@ -30,7 +30,7 @@
 
 } // namespace
 
-/// One route of resumable streams to one service.
+/// A document with one route of resumable streams to one service.
 class ForwardFleet::FixedDocument : public DocumentCodec {
 public:
   FixedDocument(std::optional<EngineSpec> engine,
@@ -60,7 +60,7 @@
   Duration ColdTime;
 };
 
-/// Carries out what one entry decides.
+/// Executes the commands of one entry.
 class ForwardFleet::Front : public ForwardSink {
 public:
   Front(ForwardFleet &fleet, HostName entry)
@@ -227,7 +227,8 @@
   return Place.process(replicaName(i));
 }
 
-/// Servers register, and the operators' document is put in force.
+/// Registers the servers at the leader, and proposes the routing document until
+/// the proposal has an outcome.
 void ForwardFleet::beat() {
   Place.after(Options.Heartbeat, [this] { beat(); });
   WorldProcess *leader = Place.leader();
@@ -358,7 +359,7 @@
 void ForwardFleet::tellHead(const Server &server, const Run &run, int status,
                             HttpHeaders headers) {
   ServerAsks asks = server.Asks;
-  // Only who is turned away is asked for rest.
+  // Only a rejection carries the backoff.
   if (status != StatusUnavailable)
     asks.Rest.reset();
   headers.push_back({"id", run.Id});
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
@@ -13,64 +13,65 @@
   std::uint32_t Replicas = 3;
   std::uint32_t Entries = 4;
   std::uint32_t Servers = 12;
-  /// Mean time from a request's arrival at a server to its first event, and to
-  /// each further one.
+  /// Mean time from a request's arrival at a server to its first event, and the
+  /// time between two events.
   Duration FirstEvent = std::chrono::milliseconds(150);
   Duration EventPause = std::chrono::milliseconds(60);
   std::uint32_t Events = 16;
-  /// A server ends so long after it began to run a deadly request, and another
-  /// process of it is there later.
+  /// Time from when a server would send the first event of a crashing request
+  /// until it crashes, and from a crash until its next process starts.
   Duration CrashAfter = std::chrono::milliseconds(50);
   Duration BackAfter = std::chrono::seconds(4);
-  /// The servers are engines, each with an agent beside it.
+  /// The servers are engines, each with an agent on its host.
   bool Engines = false;
-  /// Adapters that an engine holds.
+  /// Maximum number of adapters that an engine holds.
   std::uint32_t AdapterSlots = 8;
-  /// Availability zones over which the servers are spread in turn.
+  /// Number of availability zones; servers are assigned to them round-robin.
   std::uint32_t Zones = 1;
-  /// A server that has started takes so many requests a second for this time,
-  /// from all entries together; 0 sets no limit.
+  /// Limit, in requests a second from all entries together, of a server during
+  /// its first `ColdTime` after a start; 0 sets no limit.
   double ColdPerSecond = 0;
   Duration ColdTime = std::chrono::seconds(3);
-  /// Within so long an evacuation is in force at all entries; zero: an entry
-  /// that is out of touch serves on.
+  /// Maximum time until an evacuation is in force at all entries. With zero, an
+  /// entry that has lost contact with the replicas keeps serving.
   Duration EvacuationBound = Duration::zero();
-  /// How often servers register.
+  /// Interval at which servers register.
   Duration Heartbeat = std::chrono::seconds(1);
-  /// Between an entry and a server, one way.
+  /// One-way latency between an entry and a server.
   Duration Latency = std::chrono::microseconds(1400);
 };
 
-/// How an attempt of a caller ended.
+/// The answer to an attempt of a caller.
 struct CallerAnswer {
   TimePoint SentAt;
   TimePoint EndedAt;
   int Status = 0;
-  /// When to come back, of a refusal.
+  /// Retry-after of a refusal.
   Duration ComeBack = Duration::zero();
   std::string Body;
-  /// The answer is complete; a server's own one, if it has a stamp.
+  /// The answer is complete.
   bool Whole = false;
+  /// The answer has the stamp of a server; the entry's own answers have none.
   bool Stamped = false;
 };
 
-/// What a server asks for in its answers.
+/// Feedback that a server sends with its answers.
 struct ServerAsks {
   /// Requests a second, from all entries together.
   std::optional<double> Limit;
-  /// Turns all new requests away and wants nothing for so long.
+  /// The server rejects all new requests and asks for none during this time.
   std::optional<Duration> Rest;
   bool Leaving = false;
 };
 
-/// One process of an entry.
+/// One incarnation of an entry's process.
 struct EntryProcess {
   HostName Host;
   std::uint64_t Incarnation = 0;
   friend auto operator<=>(const EntryProcess &, const EntryProcess &) = default;
 };
 
-/// An entry has read what a server asks for.
+/// Feedback of a server that has reached an entry.
 struct FeedbackTold {
   TimePoint At;
   HostName Server;
@@ -78,37 +79,38 @@
   ServerAsks Asks;
 };
 
-/// A send of a request that reached a server.
+/// The arrival of a request at a server.
 struct ServerArrival {
   TimePoint At;
   std::string Content;
   HostName Server;
   EntryProcess Entry;
   ZoneName Zone;
-  /// The server was cold then.
+  /// The server was cold at that time.
   bool Cold = false;
 };
 
-/// The end of a server's process.
+/// A crash of a server's process.
 struct ServerCrash {
   TimePoint At;
   HostName Server;
-  /// The deadly request that ended it; empty if it ended by itself.
+  /// Content of the crashing request; empty for a crash without one.
   std::string Content;
-  /// All that it was given and hadn't answered.
+  /// Contents of all requests in flight at the server.
   std::vector<std::string> AtWork;
 };
 
 /// \class ForwardFleet
 /// \ingroup Testkit
-/// \brief Replicas, forwarding entries and the servers behind them, plain ones
-/// or engines with agents. Some requests end each process that begins to run
-/// them; servers name limits, ask for rest and leave.
+/// \brief Replicas, forwarding entries and the backend servers behind them:
+/// plain services, or engines with agents. Crashing requests crash each server
+/// process that begins to run them. Servers may send feedback: limits, backoffs
+/// and that they are leaving.
 ///
-/// A request is named by its content. It is deadly if that was declared by
-/// addDeadly(); attempts at the same content differ in their ids alone. Use it
-/// to see what a whole fleet does with such requests; for the decisions of one
-/// entry, use ForwardController by itself.
+/// A request is identified by its content. It is a crashing request if its
+/// content was passed to addDeadly(). Attempts with the same content differ
+/// only in their ids. Use this class to test the behaviour of a whole fleet; to
+/// test the decisions of one entry, use ForwardController alone.
 class ForwardFleet {
 public:
   explicit ForwardFleet(const ForwardFleetOptions &options);
@@ -119,25 +121,27 @@
   WorldProcess &entry(std::uint32_t i);
   WorldProcess &replica(std::uint32_t i);
   World &world() { return Place; }
-  /// Cuts \p host off from all replicas, until World::healAll().
+  /// Cuts the links between \p host and all replicas until World::healAll().
   void cutOffReplicas(const HostName &host);
 
   void addDeadly(const std::string &content) { Deadly.insert(content); }
-  /// Sends an attempt at \p content to an entry. \p done gets its answer.
+  /// Sends an attempt with \p content to an entry. \p done gets the answer.
   void call(WorldProcess &entry, const std::string &content,
             std::function<void(const CallerAnswer &)> done = {},
             const std::string &adapter = "a");
-  /// From now on server \p i asks for this with each answer.
+  /// Sets the feedback that server \p i sends with each answer from now on.
   void setAsks(std::uint32_t i, const ServerAsks &asks);
   HostName serverName(std::uint32_t i) const { return Servers[i].Name; }
   ZoneName zoneOf(std::uint32_t server) const;
-  /// Server \p i is cold from now on, as if it had just started.
+  /// Makes server \p i cold, as if it had just started.
   void chillServer(std::uint32_t i);
   /// \pre the servers are engines.
   WorldProcess &agent(std::uint32_t i);
-  /// Ends server \p i without a request's doing, for `BackAfter`.
+  /// Crashes server \p i without a crashing request. Its next process starts
+  /// after `BackAfter`.
   void crashServer(std::uint32_t i);
-  /// Server \p i loses its power: silence.
+  /// Simulates a power loss of server \p i: connections aren't closed, requests
+  /// and checks aren't answered.
   void darkenServer(std::uint32_t i);
 
   const std::vector<ServerArrival> &arrivals() const { return Arrivals; }
@@ -178,14 +182,14 @@
   void onSend(WorldProcess &entry, const SendUpstream &send);
   void onCheck(WorldProcess &entry, const CheckServer &check);
   void onArrival(std::size_t server, const HostName &expected, Run run);
-  /// Answers a request that isn't run.
+  /// Rejects a request that isn't run, with the server's backoff.
   void turnAway(const Server &server, const Run &run);
   void tellHead(const Server &server, const Run &run, int status,
                 HttpHeaders headers);
   void onEvent(std::size_t server, std::uint64_t run, std::uint32_t event);
   void crash(Server &server, const std::string &content);
-  /// Calls \p action at the entry of \p run, if that still lives, after the
-  /// way back.
+  /// Calls \p action after `Latency` at the entry of \p run, if that
+  /// incarnation is still alive.
   void tell(const Run &run, std::function<void(ForwardNode &)> action);
   void endCall(std::uint64_t key, bool whole);
 
--- a/packages/testkit/pimentofront/src/Testkit/Ledger.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Ledger.cpp
@@ -28,7 +28,7 @@
 void Ledger::ended(TimePoint now, RequestKey key, const FinalAnswer &answer) {
   RequestRecord *record = find(key);
   if (!record)
-    return violation(now, "an answer for a request that nobody sent");
+    return violation(now, "an answer to a request that was never sent");
   if (record->Ended)
     return violation(now, record->Request.Id.str() + " was answered twice");
   record->Ended = true;
@@ -43,13 +43,13 @@
   const std::string &id = request.Id.str();
   if (answer.Kind == FinalKind::Refused && runsOf(request.Id) > 0 &&
       request.Idempotent)
-    violation(now, id + " was refused as not run, but it ran");
+    violation(now, id + " was refused as not run, but it was run");
   if (answer.Kind != FinalKind::Answered || !request.Service.empty())
     return;
   if (request.Version != 0 && answer.Key.Version != request.Version)
     violation(now, id + " was answered by another version");
   if (answer.Tokens != request.MaxTokens)
-    violation(now, id + " was answered in part: " +
+    violation(now, id + " was answered incompletely: " +
                        std::to_string(answer.Tokens) + " tokens");
   if (!KeepTexts)
     return;
@@ -57,12 +57,12 @@
   for (std::uint64_t i = 0; i < request.MaxTokens; ++i)
     expected += fakeToken(answer.Key, request.Id, i);
   if (record.Text != expected)
-    violation(now, id + " got another text than its own: " + record.Text);
+    violation(now, id + " received a wrong text: " + record.Text);
 }
 
 void Ledger::started(TimePoint now, const ExecuteRequest &request) {
   const std::uint32_t runs = ++Runs[request.Request];
-  // All services of the tests are non-idempotent ones.
+  // All services in the simulation are non-idempotent.
   if (!request.Service.empty() && runs > 1)
     violation(now, request.Request.str() + " ran twice");
 }
@@ -76,7 +76,7 @@
       now > retired->second + InForceLimit)
     violation(now, request.Request.str() + " was routed to version " +
                        std::to_string(request.Key.Version) +
-                       ", which isn't live any more");
+                       ", which is no longer live");
 }
 
 bool Ledger::mayBeLive(const AdapterKey &key) const {
@@ -109,7 +109,7 @@
         if (it.Live)
           found.push_back(it.Number);
     if (found != live && !Declaring[adapter].contains(found))
-      violation(now, "an accepted change of " + adapter.str() + " is lost");
+      violation(now, "an accepted change of " + adapter.str() + " was lost");
   }
 }
 
--- a/packages/testkit/pimentofront/src/Testkit/Ledger.h
+++ b/packages/testkit/pimentofront/src/Testkit/Ledger.h
@@ -10,7 +10,8 @@
 
 /// \class RequestRecord
 /// \ingroup Testkit
-/// \brief What happened to one send of a request, as its caller saw it.
+/// \brief One submission of a request and its outcome as the caller saw it. A
+/// request that is submitted again under its id has a record for each.
 struct RequestRecord {
   CallerRequest Request;
   TimePoint SentAt;
@@ -22,37 +23,41 @@
 
 /// \class Ledger
 /// \ingroup Testkit
-/// \brief Sees everything, and writes down whatever must never happen.
+/// \brief Records the events of a simulation, checks the invariants and keeps a
+/// list of their violations.
 class Ledger {
 public:
-  /// A change that an operator was told is accepted counts everywhere after
-  /// this time.
+  /// Maximum time from the acceptance of a configuration change, as reported to
+  /// the operator, until every entry applies it.
   static constexpr Duration InForceLimit = std::chrono::seconds(6);
 
   RequestRecord &sent(TimePoint now, RequestKey key,
                       const CallerRequest &request);
   RequestRecord *find(RequestKey key);
   void ended(TimePoint now, RequestKey key, const FinalAnswer &answer);
-  /// An entry sent a request to a host: what it resolved must be in force. Once
-  /// resolved, a request keeps its version, also when its host is slow or it
-  /// goes on at another.
+  /// Records that an entry sent a request to a host. On the first send, the
+  /// adapter version that the entry resolved must be live. Later sends aren't
+  /// checked: a request keeps its resolved version when its host is slow or
+  /// when another host continues it.
   void routed(TimePoint now, const ExecuteRequest &request);
-  /// An engine or service began to work on a request.
+  /// Records that an engine or service began to run a request.
   void started(TimePoint now, const ExecuteRequest &request);
-  /// An operator asks for this; until it is answered, it may be in force.
+  /// Records that an operator proposed \p live as the live versions. They may
+  /// be in force until the proposal is answered.
   void declaring(const AdapterName &adapter,
                  const std::vector<VersionNumber> &live);
-  /// The question was answered with no.
+  /// Records that the proposal was declined.
   void notDeclared(const AdapterName &adapter,
                    const std::vector<VersionNumber> &live);
-  /// An operator was told that these are the live versions since \p at. Answers
-  /// may come in another order than the changes.
+  /// Records that the proposal was accepted with revision \p at. Answers may
+  /// arrive out of order; an answer with an older revision changes nothing.
   void declared(TimePoint now, const AdapterName &adapter,
                 const std::vector<VersionNumber> &live, Revision at);
-  /// A configuration was seen in some process.
+  /// Records the configuration revision of a process; within one incarnation it
+  /// must never decrease.
   void sawRevision(const HostName &host, std::uint64_t incarnation,
                    Revision revision);
-  /// Something that must never happen.
+  /// Adds \p what to the violations.
   void violation(TimePoint now, const std::string &what);
 
   std::uint32_t runsOf(const RequestId &id) const;
@@ -60,10 +65,11 @@
   const std::map<RequestKey, RequestRecord> &requests() const {
     return Requests;
   }
-  /// Checks a state against what operators were told: for each adapter it must
-  /// have the last accepted live versions, or those of an unanswered change.
+  /// Checks that each adapter's live versions in \p state are those last
+  /// accepted or those of a proposal that hasn't been answered.
   void checkState(TimePoint now, const Configuration &state);
-  /// Requests whose text isn't kept: replays of many thousands.
+  /// Stops keeping and checking answer texts, for replays of many thousands of
+  /// requests.
   void forgetTexts() { KeepTexts = false; }
   bool keepsTexts() const { return KeepTexts; }
 
@@ -76,16 +82,17 @@
   std::set<RequestId> Routed;
   std::map<AdapterName, std::vector<VersionNumber>> Live;
   std::map<AdapterName, Revision> LiveSince;
-  /// Changes that nobody has answered: each may be in force.
+  /// Proposals that haven't been answered; each may be in force.
   std::map<AdapterName, std::multiset<std::vector<VersionNumber>>> Declaring;
-  /// Since when a version isn't live any more.
+  /// When a version stopped being live.
   std::map<AdapterKey, TimePoint> Retired;
   std::map<std::pair<HostName, std::uint64_t>, Revision> Seen;
   std::vector<std::string> Violations;
   bool KeepTexts = true;
 };
 
-/// \returns the token at \p position that a fake engine makes of a request.
+/// \returns the token that a fake engine generates at \p position of the answer
+/// to a request.
 std::string fakeToken(const AdapterKey &key, const RequestId &request,
                       std::uint64_t position);
 
--- a/packages/testkit/pimentofront/src/Testkit/PlainHeaders.h
+++ b/packages/testkit/pimentofront/src/Testkit/PlainHeaders.h
@@ -7,10 +7,13 @@
 
 /// \class PlainHeaders
 /// \ingroup Testkit
-/// \brief An outside system's headers by plain names: a request's id, time in
-/// milliseconds, adapter, tokens and key, the account and priority that it is
-/// sent with, an answer's id, stamp, not-run, limit, rest in seconds and
-/// leaving, a refusal's come-back in microseconds.
+/// \brief A codec for a test platform's headers. A request has "id", "time"
+/// (until its deadline, in milliseconds), "adapter", "tokens" and "key". A
+/// request that is forwarded to a server gets "server", "account", "priority"
+/// and "last" (the last event that the caller has). An answer has "id",
+/// "stamp", "not-run", "limit" (requests a second), "rest" (a backoff in
+/// seconds) and "leaving". A refusal has "come-back" (retry-after, in
+/// microseconds).
 class PlainHeaders : public HeaderCodec {
 public:
   RequestTraits decodeRequest(const RequestHead &head) const override {
--- a/packages/testkit/pimentofront/src/Testkit/RandomScenario.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/RandomScenario.cpp
@@ -1,4 +1,4 @@
-//===- RandomScenario.cpp - Seeded schedules of faults ----------*- C++ -*-===//
+//===- RandomScenario.cpp - Random fault schedules --------------*- C++ -*-===//
 
 #include "pimentofront/Testkit.h"
 
@@ -49,8 +49,8 @@
     text << at + 1 << " live a " << 1 + chance.next() % 5 << " via "
          << pick(entries) << "\n";
   }
-  // Faults; one disk at most is lost, since two within one repair may really
-  // lose what was accepted.
+  // At most one disk is lost: losing a second one before the group has
+  // recovered from the first can lose accepted changes.
   bool diskLost = false;
   for (double at = Begin; at < Begin + Faults; at += 2 + 3 * chance.uniform()) {
     const std::string victim = pick(all);
@@ -88,7 +88,7 @@
       break;
     }
   }
-  // Everything is mended; all must end, and work again.
+  // All faults end; every process must recover and serve again.
   text << "36 heal\n";
   for (const std::string &it : all)
     text << "36 wake " << it << "\n36 start " << it << "\n";
--- a/packages/testkit/pimentofront/src/Testkit/Replay.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.cpp
@@ -6,9 +6,10 @@
 namespace pimentofront::testkit {
 namespace {
 
-/// Before the trace begins, the group is up and the agents are known.
+/// Time before the trace begins, in which the replica group elects a leader and
+/// the agents register.
 constexpr Duration WarmUp = std::chrono::seconds(5);
-/// After its last request, for the answers.
+/// Time after the last request, in which the remaining answers arrive.
 constexpr Duration CoolDown = std::chrono::seconds(35);
 
 HostName replicaName(std::uint32_t i) {
@@ -48,7 +49,7 @@
                                           deployment.Workers);
 }
 
-/// The state in which a replay begins: all adapters with one live version.
+/// \returns the initial replicated state: all adapters with one live version.
 std::string initialState(const Deployment &deployment, ReplayFault fault) {
   StateMachine state;
   const auto apply = [&](CommandBody body) {
@@ -58,7 +59,7 @@
     apply(SetKind{it.Kind});
   for (std::uint32_t i = 0; i < deployment.Adapters; ++i) {
     const AdapterName name("adapter-" + std::to_string(i));
-    // One in twenty, popular ones among them.
+    // One adapter in twenty fails to load, some of the popular ones included.
     const bool bad = fault == ReplayFault::BadAdapters && i % 20 == 10;
     apply(CreateAdapter{name, "base"});
     apply(CreateVersion{name, 1, (bad ? "missing:" : "store://") + name.str()});
@@ -154,7 +155,7 @@
 
   void send(const TraceRequest &request) {
     WorldProcess *entry = &Place.process(replicaName(request.Entry));
-    // The platform's balancer turns away from an entry that isn't ready.
+    // The platform's load balancer skips entries that aren't ready.
     for (std::uint32_t i = 1; i < Size.Entries; ++i)
       if (!entry->Alive || !entry->Entry->ready(Place.now()))
         entry = &Place.process(replicaName((request.Entry + i) % Size.Entries));
@@ -179,8 +180,8 @@
       Place.kill(*it);
   }
 
-  /// \returns the stall of a request: what it waited for its adapter; for one
-  /// that never got it, the whole time that it waited.
+  /// \returns the stall of a request: the time it waited for its adapter if it
+  /// was answered, else the whole time until its outcome.
   static double stallOf(const RequestRecord &record) {
     if (record.Answer.Kind == FinalKind::Answered)
       return toSeconds(record.Answer.LoadStall);
@@ -211,7 +212,7 @@
     std::vector<double> refusals;
     std::uint64_t useful = 0;
     for (const auto &[key, it] : Place.Book.requests()) {
-      if (!it.Ended) // Its entry died; its caller knows that.
+      if (!it.Ended) // Its entry was killed; its caller lost the connection.
         continue;
       const double stall = stallOf(it);
       KindFigures &kind = result.Kinds[it.Request.Kind];
--- a/packages/testkit/pimentofront/src/Testkit/Replay.h
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.h
@@ -16,8 +16,8 @@
 
 /// \class PolicySpec
 /// \ingroup Testkit
-/// \brief A whole policy under a name. Baselines and earlier versions stay in
-/// the list, so that each can be run against each.
+/// \brief A named combination of routing, eviction and load policies. Baselines
+/// and earlier versions stay in the list, so that any two can be compared.
 struct PolicySpec {
   std::string Name;
   RoutingChoice Routing = RoutingChoice::Affinity;
@@ -34,16 +34,16 @@
 const std::vector<PolicySpec> &allPolicies();
 const PolicySpec *findPolicy(const std::string &name);
 
-/// What goes wrong during a replay.
+/// Fault that is injected during a replay.
 enum class ReplayFault : std::uint8_t {
   None,
-  /// A third of the engines start cold, in the middle.
+  /// A third of the engines restart cold, halfway through.
   ColdThird,
-  /// Other adapters become the popular ones, in the middle.
+  /// Other adapters become the popular ones, halfway through.
   Shift,
-  /// The leader, and with it the load scheduler, dies in the middle.
+  /// The leader, and with it the load scheduler, is killed halfway through.
   LeaderLost,
-  /// Some adapters can't be loaded.
+  /// Loads of some adapters fail.
   BadAdapters,
 };
 const char *nameOf(ReplayFault fault);
@@ -60,31 +60,32 @@
 
 /// \class ReplayFigures
 /// \ingroup Testkit
-/// \brief What a replay measured. Times are seconds.
+/// \brief Results of a replay. Times are in seconds.
 struct ReplayFigures {
   std::map<KindName, KindFigures> Kinds;
   std::uint64_t Sent = 0;
   std::uint64_t InWindow = 0;
   std::uint64_t Refused = 0;
   std::uint64_t Other = 0;
-  /// Stalls of answered requests, and the whole wait of those that never got
-  /// their adapter.
+  /// A stall is the time that an answered request waited for its adapter, or
+  /// the whole time until any other outcome.
   double StallTotal = 0;
   double StallP95 = 0;
   double StallP99 = 0;
-  /// The 99th percentile of the time to a refusal.
+  /// 99th percentile of the time to a refusal.
   double RefusalP99 = 0;
-  /// Tokens of requests that were answered in their window, a step, over the
-  /// step's capacity.
+  /// Tokens of requests that were answered in their window, divided by the
+  /// tokens that all steps could have generated with full batches.
   double BatchEfficiency = 0;
   std::uint64_t Loads = 0;
+  /// Number of loads of the optimal offline schedule; see fewestLoads().
   std::uint64_t FewestLoads = 0;
-  /// Stall of requests in each tenth of the trace.
+  /// Total stall of the requests sent in each tenth of the trace.
   std::vector<double> StallByTenth;
   std::vector<std::string> Violations;
 };
 
-/// Runs \p trace through the real nodes in virtual time.
+/// Replays \p trace against the production node classes in virtual time.
 ReplayFigures replay(const Deployment &deployment, const PolicySpec &policy,
                      const Trace &trace, ReplayFault fault, std::uint64_t seed);
 
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
@@ -31,7 +31,7 @@
   return Names[static_cast<std::size_t>(result)];
 }
 
-/// One line of the text.
+/// One parsed line of a scenario.
 struct Line {
   std::string Place;
   std::string Action;
@@ -318,7 +318,7 @@
   // Expectations
   //===--------------------------------------------------------------------===//
 
-  /// \returns how the last send of a request ended.
+  /// \returns the record of the last submission of request \p id, or null.
   const RequestRecord *lastSend(const std::string &id) const {
     const RequestRecord *last = nullptr;
     for (const auto &[key, it] : Place.Book.requests())
@@ -330,7 +330,7 @@
   void expectEnding(const Line &line) {
     const RequestRecord *record = lastSend(line.word(1));
     if (!record)
-      return fault(line, "nobody sent " + line.word(1));
+      return fault(line, "no such request was sent: " + line.word(1));
     const std::string got =
         record->Ended ? nameOf(record->Answer.Kind) : "nothing";
     for (const std::string &it : split(line.word(0), '|'))
@@ -358,7 +358,7 @@
     const std::string what = line.word(0);
     if (what == "leader") {
       if (!leader())
-        fault(line, "nobody leads");
+        fault(line, "there is no leader");
     } else if (what == "ready" || what == "not-ready") {
       const WorldProcess *it = find(line, line.word(1));
       const bool ready = it && it->Entry && it->Entry->ready(Place.now());
@@ -366,7 +366,7 @@
         fault(line, line.word(1) + (ready ? " is ready" : " isn't ready"));
     } else if (what == "in-force") {
       if (!inForce())
-        fault(line, "some entry lags");
+        fault(line, "an entry lacks the newest revision");
     } else if (what == "voters") {
       const WorldProcess *it = leader();
       const auto n =
@@ -401,10 +401,10 @@
   }
 
   //===--------------------------------------------------------------------===//
-  // The run
+  // Execution
   //===--------------------------------------------------------------------===//
 
-  /// What must hold at the end, whatever happened.
+  /// Checks the invariants of the final state.
   void checkEnd() {
     if (const WorldProcess *it = leader())
       Place.Book.checkState(Place.now(), it->Replica->state().configuration());
@@ -420,7 +420,7 @@
                       " attempts, by " + it.Answer.Host.str() + "\n";
   }
 
-  /// How each process stands at the end.
+  /// Logs the final state of each process.
   void tellProcesses() {
     for (WorldProcess *it : Place.processes()) {
       std::string text = it->Spec.Host.str() + ":";
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.h
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.h
@@ -8,19 +8,21 @@
 /// \class ScenarioResult
 /// \ingroup Testkit
 struct ScenarioResult {
-  /// Faults of the text itself, and expectations that weren't met.
+  /// Errors in the scenario's text, and expectations that weren't met.
   Findings Faults;
-  /// What must never happen and did.
+  /// Violations of the ledger's invariants.
   std::vector<std::string> Violations;
-  /// One line for each send: what became of it.
+  /// Log of the run: a line with the outcome of each request sent, then a line
+  /// with the final state of each process.
   std::string Story;
   bool good() const { return Faults.empty() && Violations.empty(); }
 };
 
 /// \class Scenario
 /// \ingroup Testkit
-/// \brief A text of lines "time action arguments", run over the real nodes in
-/// virtual time. The actions:
+/// \brief Interpreter of a test script with lines of the form "time action
+/// arguments", run against the production node classes in virtual time. The
+/// actions:
 ///
 ///     replica|entry|agent|entry+replica NAME ZONE [slots=N services=NAME]
 ///     start|kill|freeze|wake|lose-disk|full-disk|leave NAME
@@ -33,17 +35,17 @@
 ///     live NAME N[,N] via ENTRY [id=ID]
 ///     drain|undrain HOST via ENTRY
 ///     kind NAME via ENTRY [weight=N id=ID]
-///     changes N via ENTRY                       that many changes of a kind
+///     changes N via ENTRY                       N changes of a request kind
 ///     request ID ADAPTER via ENTRY [version=N tokens=N kind=NAME timeout=S]
-///     order ID via ENTRY                        to be run at most once
+///     order ID via ENTRY                        non-idempotent service call
 ///     expect answered|refused|unknown|timed_out|failed|ended ID [| ...]
 ///     expect runs ID N, expect attempts ID N, expect from ID HOST
 ///     expect leader, expect ready NAME, expect not-ready NAME
 ///     expect in-force, expect command ID accepted|conflict|undecided|...
 ///     expect voters N, expect one-accepted ID ID
 ///
-/// Times are seconds from the start; a line may begin with "+S", after the one
-/// before. Text after '#' is a remark.
+/// Times are in seconds from the start; "+S" is S seconds after the preceding
+/// line. A '#' begins a comment.
 class Scenario {
 public:
   explicit Scenario(std::uint64_t seed = 1);
@@ -58,7 +60,7 @@
   std::unique_ptr<Impl> State;
 };
 
-/// \returns a seeded text of faults and requests over a usual deployment.
+/// \returns a scenario with random faults and requests, determined by \p seed.
 std::string randomScenario(std::uint64_t seed);
 
 } // namespace pimentofront::testkit
--- a/packages/testkit/pimentofront/src/Testkit/Trace.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Trace.cpp
@@ -144,7 +144,7 @@
       rank = (rank + deployment.Adapters / 2) % deployment.Adapters;
     const KindShare &kind = drawKind(deployment, chance);
     double time = at;
-    // A geometric number of requests, one at least.
+    // The number of requests has a geometric distribution, with a minimum of 1.
     do {
       const double tokens = kind.MeanTokens * (0.5 + chance.uniform());
       trace.Requests.push_back(
@@ -199,7 +199,8 @@
 }
 
 double capacityOf(const Deployment &deployment) {
-  // Loads a request, in a long run at a rate where sessions overlap much.
+  // The loads per request are taken from a long trace, at a rate at which many
+  // sessions overlap.
   const Trace trace = generateTrace(
       deployment,
       {.RequestsPerSecond = 40, .Length = std::chrono::minutes(10), .Seed = 7});
--- a/packages/testkit/pimentofront/src/Testkit/Trace.h
+++ b/packages/testkit/pimentofront/src/Testkit/Trace.h
@@ -7,7 +7,7 @@
 
 /// \class KindShare
 /// \ingroup Testkit
-/// \brief A kind of request of a deployment and its part of the requests.
+/// \brief A request kind of a deployment and its share of the requests.
 struct KindShare {
   KindRecord Kind;
   double Share = 1;
@@ -16,7 +16,7 @@
 
 /// \class Deployment
 /// \ingroup Testkit
-/// \brief One of the users' deployments, at today's size.
+/// \brief Model of a user's deployment at its present size.
 struct Deployment {
   std::string Name;
   std::vector<std::string> Zones;
@@ -24,12 +24,14 @@
   std::uint32_t Entries = 3;
   std::uint32_t Adapters = 3000;
   double LoadsPerSecond = 4;
-  /// Exponent of the popularity of adapters (Zipf).
+  /// Exponent of the Zipf distribution of the adapters' popularity.
   double Skew = 1.25;
   /// Mean number of requests in a session of one adapter, and the mean pause
-  /// between two; 1 request makes all requests independent of each other.
+  /// between two requests. With a mean of 1, requests are independent of each
+  /// other.
   double SessionRequests = 3;
   Duration SessionPause = std::chrono::seconds(8);
+  /// One-way latency between two availability zones.
   Duration BetweenZones = std::chrono::microseconds(900);
   FakeEngineOptions Engine;
   std::vector<KindShare> Kinds;
@@ -39,7 +41,6 @@
 
 /// \class TraceRequest
 /// \ingroup Testkit
-/// \brief One request of a trace.
 struct TraceRequest {
   Duration At = Duration::zero();
   KindName Kind;
@@ -52,23 +53,24 @@
 
 /// \class StatedOutcomes
 /// \ingroup Testkit
-/// \brief What a replay of the trace should show.
+/// \brief Expected results of a replay of the trace.
 struct StatedOutcomes {
-  /// Part of the requests that is answered within its window, at least.
+  /// Minimum share of the requests that are answered within their window.
   double AnsweredInWindow = 0;
-  /// 95th percentile of load stalls, at most.
+  /// Maximum of the 95th percentile of load stalls.
   double StallP95Seconds = 1e9;
 };
 
 /// \class Trace
 /// \ingroup Testkit
-/// \brief Requests in order of time, and what is expected of them.
+/// \brief Requests in order of arrival, and the expected results.
 struct Trace {
   std::string Deployment;
   StatedOutcomes Outcomes;
   std::vector<TraceRequest> Requests;
 
-  /// JSON lines: a head, then a line for each request.
+  /// \returns the trace as JSON lines: a header line, then one line for each
+  /// request.
   std::string toLines() const;
   static Trace fromLines(std::string_view text, Findings &findings);
 };
@@ -79,20 +81,23 @@
   double RequestsPerSecond = 10;
   Duration Length = std::chrono::minutes(5);
   std::uint64_t Seed = 1;
-  /// From here on other adapters are the popular ones; zero for never.
+  /// When other adapters become the popular ones; zero for never.
   Duration ShiftAt = Duration::zero();
 };
 
-/// Requests come in sessions: an adapter wakes, gets a few requests some
-/// seconds apart, and falls idle; which one wakes follows its popularity.
+/// Generates requests in sessions: an adapter becomes active, gets a few
+/// requests some seconds apart, and becomes idle. Adapters are drawn by
+/// popularity.
 Trace generateTrace(const Deployment &deployment, const TraceOptions &options);
 
-/// \returns loads that an offline schedule needs which knows the trace, with
-/// all slots as one cache (Belady, 1966): no policy needs fewer.
+/// \returns the number of loads of the optimal offline schedule (Belady, 1966),
+/// which knows the trace in advance and uses all slots as one cache. No policy
+/// needs fewer.
 std::uint64_t fewestLoads(const Trace &trace, std::size_t slots);
 
-/// \returns requests a second at which the fakes are used up: the weight store
-/// by the fewest loads, or the engines by their steps.
+/// \returns the rate, in requests a second, that saturates the fake backend:
+/// the weight store with the minimum number of loads, or the engines with full
+/// batches, whichever rate is lower.
 double capacityOf(const Deployment &deployment);
 
 } // namespace pimentofront::testkit
--- a/packages/testkit/pimentofront/src/Testkit/World.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/World.cpp
@@ -5,7 +5,7 @@
 namespace pimentofront::testkit {
 
 //===----------------------------------------------------------------------===//
-// World: time
+// Virtual time
 //===----------------------------------------------------------------------===//
 
 World::World(const WorldOptions &options)
@@ -133,7 +133,8 @@
   process.Alive = false;
   process.Frozen = false;
   process.Held.clear();
-  // Its callers see the connection end; they can't know more.
+  // Its callers see the connection close and can't know whether their requests
+  // were run.
   process.Waiting.clear();
   dropLinksOf(process.Spec.Host);
   if (process.Engine)
@@ -146,7 +147,8 @@
 
 void World::wake(WorldProcess &process) {
   process.Frozen = false;
-  // Old messages and timers come in any order: here, messages first.
+  // After a pause, pending messages and expired timers may run in either order.
+  // Here the messages run first.
   const auto held = std::move(process.Held);
   process.Held.clear();
   for (const auto &it : held)
@@ -236,7 +238,7 @@
   request.Key = ++LastKey;
   Book.sent(Now, request.Key, request);
   if (!entry.Alive)
-    return request.Key; // No connection: the caller knows that it didn't run.
+    return request.Key; // Connection refused: the caller knows it wasn't run.
   entry.Waiting.insert(request.Key);
   atProcess(entry.Spec.Host, entry.Incarnation, [request](WorldProcess &it) {
     it.Entry->request(it.In.now(), request);
--- a/packages/testkit/pimentofront/src/Testkit/World.h
+++ b/packages/testkit/pimentofront/src/Testkit/World.h
@@ -9,7 +9,7 @@
 
 /// \class MemoryLogStore
 /// \ingroup Testkit
-/// \brief A disk of the world: survives kills of its process.
+/// \brief A simulated disk. Its contents survive a kill of the process.
 class MemoryLogStore : public LogStore {
 public:
   explicit MemoryLogStore(ReplicaId id) { Stored.Id = id; }
@@ -25,7 +25,8 @@
 
 /// \class ProcessSpec
 /// \ingroup Testkit
-/// \brief What a process of the world is; stays through its restarts.
+/// \brief Configuration of a simulated process; the same for all its
+/// incarnations.
 struct ProcessSpec {
   HostName Host;
   ZoneName Zone;
@@ -50,7 +51,7 @@
 
 /// \class WorldProcess
 /// \ingroup Testkit
-/// \brief One process: its nodes, its links, its engine beside it.
+/// \brief A simulated process with its nodes, and the engine on the same host.
 class WorldProcess : public Transport, public BackendDriver, public AnswerSink {
 public:
   WorldProcess(World &world, ProcessSpec spec);
@@ -82,10 +83,11 @@
   std::unique_ptr<AgentNode> Agent;
   std::unique_ptr<ReplicaNode> Replica;
   std::unique_ptr<ForwardNode> Forward;
-  /// What arrived while it was frozen, in order.
+  /// Events that arrived while the process was frozen, in order.
   std::vector<std::function<void()>> Held;
+  /// FakeEngine::startedAt() as the agent last saw it; 0 if none is known.
   std::uint64_t KnownEngine = 0;
-  /// Requests that its callers wait for.
+  /// Requests whose callers are waiting for an answer.
   std::set<RequestKey> Waiting;
 };
 
@@ -93,6 +95,7 @@
 /// \ingroup Testkit
 struct WorldOptions {
   std::uint64_t Seed = 1;
+  /// One-way latency within an availability zone, and between two.
   Duration InZone = std::chrono::microseconds(200);
   Duration BetweenZones = std::chrono::microseconds(900);
   WeightStoreOptions Store;
@@ -102,7 +105,8 @@
 
 /// \class World
 /// \ingroup Testkit
-/// \brief Processes, links between them, and one clock.
+/// \brief The simulation: processes, the links between them, and the virtual
+/// clock.
 class World : public Schedule, public WallClock {
 public:
   explicit World(const WorldOptions &options);
@@ -124,23 +128,26 @@
   void wake(WorldProcess &process);
   /// Kills a process, and starts it again after \p away.
   void killFor(WorldProcess &process, Duration away);
-  /// Freezes a process, and wakes it after \p away if it still stands then.
+  /// Freezes a process, and wakes it after \p away if it is still frozen then.
   void freezeFor(WorldProcess &process, Duration away);
   void loseDisk(WorldProcess &process);
 
-  /// Silently drops what \p from sends to \p to; TCP sends it again on heal.
+  /// Stops delivery from \p from to \p to without closing links. As with TCP
+  /// retransmission, healAll() delivers what is pending; a link whose data is
+  /// pending for 10 s is closed.
   void cut(const HostName &from, const HostName &to);
   void healAll();
   void slow(const HostName &from, const HostName &to, Duration delay);
 
-  /// Calls \p action if that process still lives; when it wakes, if it is
-  /// frozen.
+  /// Calls \p action if that incarnation of the process is alive; when it
+  /// wakes, if it is frozen.
   void atProcess(const HostName &host, std::uint64_t incarnation,
                  std::function<void(WorldProcess &)> action);
 
-  /// Sends a caller's request to an entry.
+  /// Submits a caller's request at an entry.
   RequestKey request(WorldProcess &entry, CallerRequest request);
-  /// Has an entry decide on an operator's command.
+  /// Submits an operator's command at an entry. \p done gets no outcome if the
+  /// entry is down.
   void command(WorldProcess &entry, const Command &command,
                CommandCallback done);
 
@@ -167,10 +174,10 @@
     LinkId Peer = 0;
     LinkPurpose Purpose = LinkPurpose::General;
     bool Known = false;
-    /// The other side's greeting has come; nothing is sent before.
+    /// The peer's greeting has arrived. Messages are queued until then.
     bool Open = false;
     TimePoint LastArrival;
-    /// What waits for the greeting, or is under way while the direction is cut.
+    /// Messages that wait for the greeting or for the end of a cut.
     std::vector<Message> Unsent;
     TimePoint UnsentSince;
   };
@@ -183,7 +190,7 @@
   void tellOpen(LinkId link, const Hello &hello);
   void closeLink(LinkId link);
   void dropLinksOf(const HostName &host);
-  /// Tells the owner of \p link that it ended.
+  /// Notifies the owner of \p link that it was closed.
   void tellClosed(LinkId link);
   void deliver(LinkId to, const Message &message);
   bool isCut(const HostName &from, const HostName &to) const;
--- a/packages/testkit/pimentofront/src/Testkit/WorldLinks.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/WorldLinks.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr Duration ConnectTimeout = std::chrono::seconds(2);
-/// A link whose other side acknowledges nothing for so long ends.
+/// A link with unacknowledged data is closed after this time, as with
+/// TCP_USER_TIMEOUT.
 constexpr Duration UserTimeout = std::chrono::seconds(10);
 
 } // namespace
@@ -26,7 +27,7 @@
 
 LinkId World::openLink(WorldProcess &from, const std::string &address,
                        LinkPurpose purpose) {
-  // An address of the world is the host's name.
+  // In the simulation a host's address is its name.
   const LinkId id = ++LastLink;
   Ends[id] = {.Host = from.Spec.Host,
               .Incarnation = from.Incarnation,
@@ -71,7 +72,8 @@
     if (it == Ends.end())
       return;
     tellOpen(theirs, hello(end.Host, false, end.Purpose));
-    // A frozen process accepts, as its kernel does it, but doesn't greet.
+    // The kernel accepts connections for a frozen process, but the process
+    // doesn't send its greeting.
     atProcess(end.PeerHost, it->second.Incarnation, [=](WorldProcess &p) {
       World &world = p.In;
       const Hello greeting = hello(end.PeerHost, true, end.Purpose);
@@ -172,7 +174,7 @@
   Ends.erase(it);
   if (end.Peer == 0)
     return;
-  // Behind a cut nobody hears of the end.
+  // Across a cut the peer only notices by its timeout.
   const bool cut = isCut(end.Host, end.PeerHost);
   const Duration delay =
       cut ? UserTimeout : delayBetween(end.Host, end.PeerHost);
--- a/packages/testkit/pimentofront/src/Testkit/WorldProcess.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/WorldProcess.cpp
@@ -21,7 +21,7 @@
 void WorldProcess::generate(const ExecuteRequest &request) {
   if (Engine->generate(request, KnownEngine))
     return;
-  // The engine refuses what it doesn't know; the answer takes a moment.
+  // The engine's refusal arrives after 100 us.
   In.after(Duration(100), [this, attempt = request.Attempt,
                            incarnation = Incarnation] {
     In.atProcess(Spec.Host, incarnation, [=](WorldProcess &process) {
@@ -52,7 +52,7 @@
   const TimePoint begun = In.now();
   Engine->load(load, [this, key = load.Key, begun,
                       incarnation = Incarnation](bool good) {
-    // Never inside the call that began it.
+    // The completion must not run inside the call that started the load.
     In.after(Duration::zero(), [=, this] {
       In.atProcess(Spec.Host, incarnation, [=](WorldProcess &process) {
         const TimePoint now = process.In.now();
--- a/packages/testkit/src/FakeEngineMain.cpp
+++ b/packages/testkit/src/FakeEngineMain.cpp
@@ -1,9 +1,10 @@
-//===- FakeEngineMain.cpp - A stand-in for a model engine -------*- C++ -*-===//
+//===- FakeEngineMain.cpp - Fake model engine -------------------*- C++ -*-===//
 ///
-/// Speaks the published interface of OpenAI-style engines with LoRA adapters:
-/// /v1/completions as a stream, /v1/load_lora_adapter, /v1/unload_lora_adapter,
-/// /v1/models, /metrics. A token names the adapter that made it, so that a test
-/// sees an answer of the wrong one.
+/// Implements the public HTTP API of OpenAI-compatible engines with LoRA
+/// adapters: /v1/completions (streaming only), /v1/load_lora_adapter,
+/// /v1/unload_lora_adapter, /v1/models and /metrics. Each token contains the
+/// name of the adapter that generated it, so that a test can detect an answer
+/// from the wrong adapter.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,7 +31,7 @@
   Duration LoadTime = std::chrono::milliseconds(250);
 };
 
-/// One stream of tokens.
+/// A streamed completion.
 struct Stream {
   std::shared_ptr<HttpExchange> Exchange;
   std::string Model;
@@ -54,7 +55,8 @@
       return models(*exchange);
     const Json body = Json::parse(exchange->body(), nullptr, false);
     if (!body.is_object())
-      return exchange->reply(StatusBadRequest, {}, "no JSON object");
+      return exchange->reply(StatusBadRequest, {},
+                             "the body isn't a JSON object");
     if (path == "/v1/completions")
       return complete(exchange, body);
     if (path == "/v1/load_lora_adapter")
@@ -116,7 +118,7 @@
     stream.Next = Loop.every(Options.TokenTime, [this, id] { step(id); });
   }
 
-  /// Without a time for a token the whole answer comes at once.
+  /// Sends the whole answer at once, for a token time of zero.
   void finish(std::uint64_t id) {
     while (Streams.contains(id))
       step(id);
--- a/packages/testkit/src/FakeServiceMain.cpp
+++ b/packages/testkit/src/FakeServiceMain.cpp
@@ -1,7 +1,7 @@
-//===- FakeServiceMain.cpp - A stand-in for a plain service -----*- C++ -*-===//
+//===- FakeServiceMain.cpp - Fake plain service -----------------*- C++ -*-===//
 ///
-/// Answers each POST with the number of calls that it has had under the same
-/// request id, so that a test sees a request that was run twice.
+/// Answers each request with the number of calls received so far under the same
+/// request id, so that a test can detect a request that was run twice.
 ///
 //===----------------------------------------------------------------------===//
 
--- a/packages/testkit/src/ReplayMain.cpp
+++ b/packages/testkit/src/ReplayMain.cpp
@@ -1,4 +1,4 @@
-//===- ReplayMain.cpp - Policies against each other, by replay --*- C++ -*-===//
+//===- ReplayMain.cpp - Compares policies by replay -------------*- C++ -*-===//
 
 #include "pimentofront/Testkit.h"
 
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// One cell of the table: a policy on a deployment at a load with a fault.
+/// One run: a policy on a deployment at a load (percent of its capacity) with a
+/// fault and a seed.
 struct Cell {
   Deployment Size;
   PolicySpec Policy;
@@ -42,7 +43,7 @@
   bool ByKind = false;
   /// Mean number of requests in a session.
   double Session = 3;
-  /// A policy under trial, beside those of the list.
+  /// A policy with modified options, run in addition to those of the list.
   std::optional<PolicySpec> Trial;
 };
 
@@ -57,7 +58,7 @@
   cell.Figures = replay(cell.Size, cell.Policy, trace, cell.Fault, cell.Seed);
 }
 
-/// Each replay is one thread's; they share nothing.
+/// Runs the cells on several threads. Replays share no state.
 void runAll(std::vector<Cell> &cells, const Arguments &arguments) {
   std::vector<std::jthread> threads;
   for (unsigned t = 0; t < arguments.Threads; ++t)
@@ -67,7 +68,7 @@
     });
 }
 
-/// Mean and spread over the seeds.
+/// Mean, minimum and maximum over the seeds.
 struct Spread {
   double Least = 1e18;
   double Most = -1e18;
@@ -148,7 +149,8 @@
   std::printf("\n");
 }
 
-/// Changes one knob of the policy "trial"; \returns whether there is one.
+/// Sets one option of the policy "trial" from a text "name=value".
+/// \returns false if there is no such option.
 bool setKnob(PolicySpec &policy, const std::string &text) {
   const std::size_t sign = text.find('=');
   if (sign == std::string::npos)
@@ -258,7 +260,7 @@
       arguments.Session = std::atof(optarg);
       break;
     case 'x': {
-      // The newest policy, with other knobs.
+      // The newest policy with modified options.
       PolicySpec trial = allPolicies().back();
       trial.Name = "trial";
       for (const std::string &it : splitList(optarg))
--- a/packages/testkit/src/ScenarioMain.cpp
+++ b/packages/testkit/src/ScenarioMain.cpp
@@ -16,11 +16,12 @@
     std::fputs(result.Story.c_str(), stdout);
   std::fputs(result.Faults.toText().c_str(), stdout);
   for (const std::string &it : result.Violations)
-    std::printf("%s: must never happen: %s\n", name.c_str(), it.c_str());
+    std::printf("%s: invariant violated: %s\n", name.c_str(), it.c_str());
   return result.good();
 }
 
-/// Runs random scenarios until one fails.
+/// Runs \p count random scenarios with seeds from \p first on, and stops at the
+/// first one that fails.
 int runRandom(std::uint64_t first, std::uint64_t count) {
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     const std::string text = randomScenario(seed);
@@ -33,7 +34,7 @@
                 static_cast<unsigned long long>(seed));
     return 1;
   }
-  std::printf("%llu random scenarios are good\n",
+  std::printf("%llu random scenarios passed\n",
               static_cast<unsigned long long>(count));
   return 0;
 }
--- a/test/ReplayTest.cpp
+++ b/test/ReplayTest.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-TEST_CASE("what must hold holds in every replay") {
+TEST_CASE(
+    "no policy violates an invariant in a replay, with or without faults") {
   for (const Deployment &size : {coralCoast(), ammann()})
     for (const PolicySpec &policy : allPolicies())
       for (const ReplayFault fault :
@@ -27,11 +28,12 @@
         INFO(size.Name << " " << policy.Name << " " << nameOf(fault));
         const auto figures = run(size, policy.Name.c_str(), 0.9, fault);
         for (const std::string &it : figures.Violations)
-          FAIL_CHECK("must never happen: " << it);
+          FAIL_CHECK("invariant violated: " << it);
       }
 }
 
-TEST_CASE("the newest policy stalls at most half of the best baseline") {
+TEST_CASE(
+    "the newest policy's stalls are at most half of the best baseline's") {
   for (const Deployment &size : {coralCoast(), ammann()}) {
     const auto newest = allPolicies().back().Name;
     const double ours =
@@ -43,7 +45,7 @@
   }
 }
 
-TEST_CASE("overload doesn't collapse: answers in their window don't fall") {
+TEST_CASE("overload reduces the answers within their window by at most 5%") {
   const Deployment size = ammann();
   const auto newest = allPolicies().back().Name;
   const auto full = run(size, newest.c_str(), 1.0, ReplayFault::None);
@@ -52,7 +54,7 @@
         0.95 * static_cast<double>(full.InWindow));
 }
 
-TEST_CASE("a replay is the same each time") {
+TEST_CASE("a replay is deterministic") {
   const Deployment size = coralCoast();
   const auto a = run(size, "v4", 0.5, ReplayFault::ColdThird);
   const auto b = run(size, "v4", 0.5, ReplayFault::ColdThird);
@@ -60,7 +62,7 @@
   CHECK(a.Loads == b.Loads);
 }
 
-TEST_CASE("a trace survives its lines") {
+TEST_CASE("a trace written as JSON lines is read back unchanged") {
   Trace trace = generateTrace(ammann(), {.Length = 10s});
   trace.Outcomes = {0.9, 2};
   Findings findings;
@@ -71,7 +73,8 @@
   CHECK(findings.items().size() == 2);
 }
 
-TEST_CASE("no policy needs fewer loads than the offline schedule") {
+TEST_CASE(
+    "fewestLoads() is the number of loads of the optimal offline schedule") {
   Trace trace;
   for (const char *it : {"a", "b", "c", "a", "b", "c"})
     trace.Requests.push_back({.Adapter = AdapterName(it)});
--- a/test/ScenarioTest.cpp
+++ b/test/ScenarioTest.cpp
@@ -22,13 +22,13 @@
   for (const pimentofront::Finding &it : result.Faults.items())
     FAIL_CHECK(it.Place << ": " << it.Message);
   for (const std::string &it : result.Violations)
-    FAIL_CHECK("must never happen: " << it);
+    FAIL_CHECK("invariant violated: " << it);
 }
 
 } // namespace
 
 TEST_CASE("the scenarios by name") {
-  // Each begins from one deployment, in a file of its own.
+  // All scenarios start with the deployment in deployment.begin.
   const std::string begin =
       readFile(fs::path(SCENARIO_FOLDER) / "deployment.begin");
   std::vector<fs::path> files;
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("a text with faults is reported, line by line") {
+TEST_CASE("errors in the text of a scenario are reported by line") {
   const ScenarioResult result =
       Scenario().run("f", "0 dance\n1\n2 kill nobody\n");
   CHECK(result.Faults.toText().find("f:1: dance: unknown action") !=
