--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
@@ -16,41 +16,42 @@
   return Options.LoadsPerSecond * shared / static_cast<double>(Active.size());
 }
 
-void FakeWeightStore::progress() {
-  const double done = speed() * toSeconds(Time.now() - ProgressedAt);
+void FakeWeightStore::advance() {
+  const double done = speed() * toSeconds(Scheduler.now() - AdvancedAt);
   for (Transfer &it : Active)
-    it.Left -= done;
-  ProgressedAt = Time.now();
+    it.RemainingWork -= done;
+  AdvancedAt = Scheduler.now();
 }
 
 void FakeWeightStore::load(const std::string &source, Done done) {
-  progress();
+  advance();
   Active.push_back(
       {.Fails = source.starts_with("missing:"), .OnDone = std::move(done)});
-  arm();
+  scheduleCompletion();
 }
 
-void FakeWeightStore::arm() {
+void FakeWeightStore::scheduleCompletion() {
   if (Active.empty())
     return;
-  const double least =
-      std::ranges::min_element(Active, {}, &Transfer::Left)->Left;
-  const std::uint64_t armed = ++Armed;
-  const Duration wait = fromSeconds(std::max(least, 0.0) / speed());
-  Time.after(wait + Duration(1), [this, armed] {
-    if (armed != Armed)
+  const double minRemaining =
+      std::ranges::min_element(Active, {}, &Transfer::RemainingWork)
+          ->RemainingWork;
+  const std::uint64_t timerGeneration = ++TimerGeneration;
+  const Duration wait = fromSeconds(std::max(minRemaining, 0.0) / speed());
+  Scheduler.after(wait + Duration(1), [this, timerGeneration] {
+    if (timerGeneration != TimerGeneration)
       return;
-    progress();
+    advance();
     std::vector<Transfer> done;
     for (auto it = Active.begin(); it != Active.end();) {
-      if (it->Left <= 0) {
+      if (it->RemainingWork <= 0) {
         done.push_back(std::move(*it));
         it = Active.erase(it);
       } else {
         ++it;
       }
     }
-    arm();
+    scheduleCompletion();
     for (Transfer &it : done) {
       ++Finished;
       it.OnDone(!it.Fails);
@@ -63,32 +64,33 @@
 //===----------------------------------------------------------------------===//
 
 bool FakeEngine::generate(const ExecuteRequest &request,
-                          std::uint64_t knownAs) {
-  if (Down || (knownAs != Generation && !Resident.contains(request.Key)))
+                          std::uint64_t knownStart) {
+  if (Down || (knownStart != Generation && !Resident.contains(request.Key)))
     return false;
-  Book.started(Time.now(), request);
+  RequestLedger.recordStarted(Scheduler.now(), request);
   if (!Resident.contains(request.Key))
-    Book.violation(Time.now(), request.Request.str() +
+    RequestLedger.addViolation(Scheduler.now(),
+                               request.Request.str() +
                                    " was started without its adapter loaded");
   if (Running.size() >= Options.BatchCapacity)
-    Book.violation(Time.now(),
-                   "an engine got more requests than its batch capacity");
+    RequestLedger.addViolation(
+        Scheduler.now(), "an engine got more requests than its batch capacity");
   Work work{.Request = request};
   // Continues after the text that an earlier attempt generated.
   work.Position =
       static_cast<std::uint64_t>(std::ranges::count(request.Resumed, ' '));
   work.End = work.Position + request.MaxTokens;
   Running[request.Attempt] = std::move(work);
-  Joining.push_back(request.Attempt);
+  NewRequests.push_back(request.Attempt);
   if (Stepping)
     return true;
   Stepping = true;
   const std::uint64_t generation = Generation;
-  Time.after(stepTime(), [this, generation] { step(generation); });
+  Scheduler.after(stepTime(), [this, generation] { step(generation); });
   return true;
 }
 
-bool FakeEngine::isCached(const Work &work) {
+bool FakeEngine::lookUpPrefix(const Work &work) {
   const std::uint64_t prefix =
       stableHash(work.Request.Prompt.substr(0, 16),
                  std::hash<AdapterKey>()(work.Request.Key));
@@ -109,31 +111,33 @@
   Duration time = Options.StepBase +
                   Options.StepPerRequest * static_cast<int>(Running.size()) +
                   Options.StepPerAdapter * static_cast<int>(adapters.size());
-  for (const AttemptId &it : Joining) {
+  for (const AttemptId &it : NewRequests) {
     const auto work = Running.find(it);
     if (work != Running.end())
-      time += isCached(work->second) ? Options.PrefillCached : Options.Prefill;
+      time +=
+          lookUpPrefix(work->second) ? Options.PrefillCached : Options.Prefill;
   }
-  Joining.clear();
+  NewRequests.clear();
   return time;
 }
 
 void FakeEngine::emit(Work &work) {
-  if (work.Unsent == 0 || !Calls.OnTokens)
+  if (work.Unsent == 0 || !AgentCallbacks.OnTokens)
     return;
   const std::uint32_t n = std::exchange(work.Unsent, 0);
-  Calls.OnTokens(work.Request.Attempt, n, std::exchange(work.Text, {}));
+  AgentCallbacks.OnTokens(work.Request.Attempt, n,
+                          std::exchange(work.Text, {}));
 }
 
 void FakeEngine::step(std::uint64_t generation) {
   if (generation != Generation)
     return;
-  ++Figures.Steps;
-  Figures.Served += Running.size();
+  ++Counters.Steps;
+  Counters.BatchedRequests += Running.size();
   std::vector<AttemptId> ended;
-  std::vector<AttemptId> pieces;
+  std::vector<AttemptId> partial;
   for (auto &[attempt, work] : Running) {
-    if (Book.keepsTexts())
+    if (RequestLedger.keepsTexts())
       work.Text +=
           fakeToken(work.Request.Key, work.Request.Request, work.Position);
     else
@@ -142,10 +146,10 @@
     ++work.Position;
     if (work.Position >= work.End)
       ended.push_back(attempt);
-    else if (work.Unsent >= Options.TokensPerPiece)
-      pieces.push_back(attempt);
+    else if (work.Unsent >= Options.TokensPerMessage)
+      partial.push_back(attempt);
   }
-  for (const AttemptId &it : pieces)
+  for (const AttemptId &it : partial)
     if (const auto work = Running.find(it); work != Running.end())
       emit(work->second);
   for (const AttemptId &it : ended) {
@@ -154,12 +158,12 @@
       continue;
     emit(work->second);
     Running.erase(it);
-    if (Calls.OnEnd)
-      Calls.OnEnd(it);
+    if (AgentCallbacks.OnEnd)
+      AgentCallbacks.OnEnd(it);
   }
   Stepping = !Running.empty();
   if (Stepping)
-    Time.after(stepTime(), [this, generation] { step(generation); });
+    Scheduler.after(stepTime(), [this, generation] { step(generation); });
 }
 
 void FakeEngine::cancel(const AttemptId &attempt) { Running.erase(attempt); }
@@ -170,28 +174,29 @@
   if (load.Victim) {
     for (const auto &[attempt, work] : Running)
       if (work.Request.Key == *load.Victim)
-        Book.violation(Time.now(),
-                       load.Victim->Adapter.str() +
-                           " was evicted while a request was using it");
+        RequestLedger.addViolation(
+            Scheduler.now(), load.Victim->Adapter.str() +
+                                 " was evicted while a request was using it");
     Resident.erase(*load.Victim);
   }
   if (Resident.size() + Loading.size() >= Options.Slots) {
-    Book.violation(Time.now(), "an engine got more adapters than its slots");
+    RequestLedger.addViolation(Scheduler.now(),
+                               "an engine got more adapters than its slots");
     return done(false);
   }
-  ++Figures.Loads;
+  ++Counters.Loads;
   Loading[load.Key] = std::move(done);
   const std::uint64_t generation = Generation;
-  Store.load(load.Source, [this, key = load.Key, generation](bool good) {
+  Store.load(load.Source, [this, key = load.Key, generation](bool succeeded) {
     if (generation != Generation)
       return;
     const auto done = std::move(Loading.at(key));
     Loading.erase(key);
-    if (good)
+    if (succeeded)
       Resident.insert(key);
     else
-      ++Figures.FailedLoads;
-    done(good);
+      ++Counters.FailedLoads;
+    done(succeeded);
   });
 }
 
@@ -202,7 +207,7 @@
   for (const auto &[key, done] : loading)
     done(false);
   Running.clear();
-  Joining.clear();
+  NewRequests.clear();
   Prefixes.clear();
   Stepping = false;
 }
@@ -214,8 +219,8 @@
 
 void FakeService::call(const ExecuteRequest &request,
                        std::function<void(std::string)> done) {
-  Book.started(Time.now(), request);
-  Time.after(Delay, [done = std::move(done), id = request.Request] {
+  RequestLedger.recordStarted(Scheduler.now(), request);
+  Scheduler.after(Delay, [done = std::move(done), id = request.Request] {
     done("receipt of " + id.str());
   });
 }
--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.h
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.h
@@ -8,12 +8,12 @@
 
 namespace pimentofront::testkit {
 
-/// \class Schedule
+/// \class EventScheduler
 /// \ingroup Testkit
 /// \brief Clock and timer queue of the simulation.
-class Schedule {
+class EventScheduler {
 public:
-  virtual ~Schedule() = default;
+  virtual ~EventScheduler() = default;
   virtual TimePoint now() const = 0;
   virtual void after(Duration delay, std::function<void()> action) = 0;
 };
@@ -33,8 +33,8 @@
 /// progress. A load of a source that begins with "missing:" fails.
 class FakeWeightStore {
 public:
-  FakeWeightStore(Schedule &schedule, const WeightStoreOptions &options)
-      : Time(schedule), Options(options) {}
+  FakeWeightStore(EventScheduler &schedule, const WeightStoreOptions &options)
+      : Scheduler(schedule), Options(options) {}
 
   using Done = std::function<void(bool)>;
   void load(const std::string &source, Done done);
@@ -42,19 +42,19 @@
 
 private:
   struct Transfer {
-    double Left = 1;
+    double RemainingWork = 1;
     bool Fails = false;
     Done OnDone;
   };
   double speed() const;
-  void progress();
-  void arm();
+  void advance();
+  void scheduleCompletion();
 
-  Schedule &Time;
+  EventScheduler &Scheduler;
   WeightStoreOptions Options;
   std::list<Transfer> Active;
-  TimePoint ProgressedAt;
-  std::uint64_t Armed = 0;
+  TimePoint AdvancedAt;
+  std::uint64_t TimerGeneration = 0;
   std::uint64_t Finished = 0;
 };
 
@@ -75,15 +75,15 @@
   /// Number of prefixes in the cache.
   std::size_t PrefixCache = 64;
   /// Tokens in one streamed message.
-  std::uint32_t TokensPerPiece = 8;
+  std::uint32_t TokensPerMessage = 8;
 };
 
-/// \class EngineFigures
+/// \class EngineCounters
 /// \ingroup Testkit
-struct EngineFigures {
+struct EngineCounters {
   std::uint64_t Steps = 0;
   /// Batch sizes, summed over the steps.
-  std::uint64_t Served = 0;
+  std::uint64_t BatchedRequests = 0;
   std::uint64_t Loads = 0;
   std::uint64_t FailedLoads = 0;
 };
@@ -100,17 +100,18 @@
     std::function<void(const AttemptId &)> OnEnd;
   };
 
-  FakeEngine(Schedule &schedule, const FakeEngineOptions &options,
+  FakeEngine(EventScheduler &schedule, const FakeEngineOptions &options,
              FakeWeightStore &store, Ledger &ledger)
-      : Time(schedule), Options(options), Store(store), Book(ledger) {}
+      : Scheduler(schedule), Options(options), Store(store),
+        RequestLedger(ledger) {}
 
   /// Connects an agent; replaces the one that was connected before.
-  void attach(Callbacks callbacks) { Calls = std::move(callbacks); }
-  void detach() { Calls = {}; }
-  /// \param knownAs the engine's startedAt() as the agent last saw it.
+  void attach(Callbacks callbacks) { AgentCallbacks = std::move(callbacks); }
+  void detach() { AgentCallbacks = {}; }
+  /// \param knownStart the engine's startedAt() as the agent last saw it.
   /// \returns false if the engine is down, or if it has restarted since and
   /// doesn't hold the adapter.
-  bool generate(const ExecuteRequest &request, std::uint64_t knownAs);
+  bool generate(const ExecuteRequest &request, std::uint64_t knownStart);
   void cancel(const AttemptId &attempt);
   void load(const StartLoad &load, std::function<void(bool)> done);
   /// Restarts the engine: its adapters, caches and running requests are gone.
@@ -124,7 +125,7 @@
   std::vector<AdapterKey> resident() const {
     return {Resident.begin(), Resident.end()};
   }
-  const EngineFigures &figures() const { return Figures; }
+  const EngineCounters &counters() const { return Counters; }
   const FakeEngineOptions &options() const { return Options; }
 
 private:
@@ -137,24 +138,24 @@
   };
   void step(std::uint64_t generation);
   Duration stepTime();
-  bool isCached(const Work &work);
+  bool lookUpPrefix(const Work &work);
   void emit(Work &work);
 
-  Schedule &Time;
+  EventScheduler &Scheduler;
   FakeEngineOptions Options;
   FakeWeightStore &Store;
-  Ledger &Book;
-  Callbacks Calls;
+  Ledger &RequestLedger;
+  Callbacks AgentCallbacks;
   std::set<AdapterKey> Resident;
   /// Loads in progress and their completion callbacks.
   std::map<AdapterKey, std::function<void(bool)>> Loading;
   std::map<AttemptId, Work> Running;
-  std::vector<AttemptId> Joining;
+  std::vector<AttemptId> NewRequests;
   std::list<std::uint64_t> Prefixes;
   bool Stepping = false;
   bool Down = false;
   std::uint64_t Generation = 1;
-  EngineFigures Figures;
+  EngineCounters Counters;
 };
 
 /// \class FakeService
@@ -162,14 +163,14 @@
 /// \brief A plain service with non-idempotent calls.
 class FakeService {
 public:
-  FakeService(Schedule &schedule, Ledger &ledger, Duration delay)
-      : Time(schedule), Book(ledger), Delay(delay) {}
+  FakeService(EventScheduler &schedule, Ledger &ledger, Duration delay)
+      : Scheduler(schedule), RequestLedger(ledger), Delay(delay) {}
   void call(const ExecuteRequest &request,
             std::function<void(std::string)> done);
 
 private:
-  Schedule &Time;
-  Ledger &Book;
+  EventScheduler &Scheduler;
+  Ledger &RequestLedger;
   Duration Delay;
 };
 
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -61,13 +61,13 @@
 };
 
 /// Executes the commands of one entry.
-class ForwardFleet::Front : public ForwardSink {
+class ForwardFleet::EntrySink : public ForwardSink {
 public:
-  Front(ForwardFleet &fleet, HostName entry)
+  EntrySink(ForwardFleet &fleet, HostName entry)
       : Fleet(fleet), Entry(std::move(entry)) {}
 
   void onCommand(ForwardCommand command) override {
-    WorldProcess &entry = Fleet.Place.process(Entry);
+    WorldProcess &entry = Fleet.Sim.process(Entry);
     if (const auto *send = std::get_if<SendUpstream>(&command))
       return Fleet.onSend(entry, *send);
     if (const auto *check = std::get_if<CheckServer>(&command))
@@ -79,10 +79,10 @@
         });
       return;
     }
-    if (const auto *whole = std::get_if<ReplyWhole>(&command)) {
-      begin(whole->Key, whole->Head);
-      Fleet.Calls.at(whole->Key).Answer.Body = whole->Body;
-      return Fleet.endCall(whole->Key, /*whole=*/true);
+    if (const auto *complete = std::get_if<ReplyWhole>(&command)) {
+      begin(complete->Key, complete->Head);
+      Fleet.Calls.at(complete->Key).Answer.Body = complete->Body;
+      return Fleet.endCall(complete->Key, /*complete=*/true);
     }
     if (const auto *head = std::get_if<ReplyHead>(&command))
       return begin(head->Key, head->Head);
@@ -91,12 +91,12 @@
       return;
     }
     if (const auto *end = std::get_if<ReplyEnd>(&command))
-      return Fleet.endCall(end->Key, /*whole=*/true);
+      return Fleet.endCall(end->Key, /*complete=*/true);
     if (const auto *abort = std::get_if<ReplyAbort>(&command))
-      return Fleet.endCall(abort->Key, /*whole=*/false);
+      return Fleet.endCall(abort->Key, /*complete=*/false);
   }
   void onEvent(const ForwardEvent &event) override {
-    Fleet.Seen.push_back(event);
+    Fleet.RecordedEvents.push_back(event);
   }
   void onTable(const RoutingTable &) override {}
 
@@ -114,7 +114,7 @@
 };
 
 ForwardFleet::ForwardFleet(const ForwardFleetOptions &options)
-    : Options(options), Place(options.World) {
+    : Options(options), Sim(options.World) {
   std::optional<EngineSpec> engine;
   if (options.Engines)
     engine = EngineSpec{.BatchCapacity = Slots,
@@ -140,18 +140,18 @@
     spec.Replica.Log.Host = spec.Host;
     spec.Replica.Log.Address = spec.Host.str();
     spec.Replica.Others = Addresses;
-    WorldProcess &process = Place.add(spec);
+    WorldProcess &process = Sim.add(spec);
     process.Disk = std::make_unique<MemoryLogStore>(1 + i);
     process.Disk->Stored.Snapshot =
         LogSnapshot::make(1, 1, group, StateMachine().encode());
-    Place.start(process);
+    Sim.start(process);
   }
 }
 
 void ForwardFleet::addEntries() {
   for (std::uint32_t i = 0; i < Options.Entries; ++i) {
     const HostName host = entryName(i);
-    Fronts[host] = std::make_unique<Front>(*this, host);
+    EntrySinks[host] = std::make_unique<EntrySink>(*this, host);
     ProcessSpec spec{.Host = host, .IsForward = true};
     spec.Forward.Feed = {.Host = host, .Replicas = Addresses};
     spec.Forward.Forward.EvacuationBound = Options.EvacuationBound;
@@ -161,11 +161,11 @@
     spec.MakeForward = [this, host](const ForwardNodeOptions &forward,
                                     RoutingPolicy &routing,
                                     Transport &transport) {
-      return std::make_unique<ForwardNode>(Place.now(), forward, Headers,
+      return std::make_unique<ForwardNode>(Sim.now(), forward, Headers,
                                            *Document, routing, transport,
-                                           *Fronts.at(host));
+                                           *EntrySinks.at(host));
     };
-    Place.start(Place.add(spec));
+    Sim.start(Sim.add(spec));
   }
 }
 
@@ -177,7 +177,7 @@
     if (Options.Engines)
       addAgent(i);
   }
-  beat();
+  registerServers();
 }
 
 void ForwardFleet::addAgent(std::uint32_t i) {
@@ -194,11 +194,11 @@
                 .Replicas = Addresses};
   spec.MakeEviction = [] { return std::make_unique<LeastPopular>(); };
   spec.MakeGate = [] { return std::make_unique<UncoordinatedLoads>(); };
-  Place.start(Place.add(spec));
+  Sim.start(Sim.add(spec));
 }
 
 WorldProcess &ForwardFleet::agent(std::uint32_t i) {
-  return Place.process(agentName(i));
+  return Sim.process(agentName(i));
 }
 
 ZoneName ForwardFleet::zoneOf(std::uint32_t server) const {
@@ -207,44 +207,44 @@
 
 void ForwardFleet::cutOffReplicas(const HostName &host) {
   for (std::uint32_t i = 0; i < Options.Replicas; ++i) {
-    Place.cut(host, replicaName(i));
-    Place.cut(replicaName(i), host);
+    Sim.cut(host, replicaName(i));
+    Sim.cut(replicaName(i), host);
   }
 }
 
 void ForwardFleet::chillServer(std::uint32_t i) {
-  Servers[i].ColdUntil = Place.now() + Options.ColdTime;
+  Servers[i].ColdUntil = Sim.now() + Options.ColdTime;
 }
 
-void ForwardFleet::setAsks(std::uint32_t i, const ServerAsks &asks) {
-  Servers[i].Asks = asks;
+void ForwardFleet::setAsks(std::uint32_t i, const ScriptedFeedback &feedback) {
+  Servers[i].Asks = feedback;
 }
 
 WorldProcess &ForwardFleet::entry(std::uint32_t i) {
-  return Place.process(entryName(i));
+  return Sim.process(entryName(i));
 }
 WorldProcess &ForwardFleet::replica(std::uint32_t i) {
-  return Place.process(replicaName(i));
+  return Sim.process(replicaName(i));
 }
 
 /// Registers the servers at the leader, and proposes the routing document until
 /// the proposal has an outcome.
-void ForwardFleet::beat() {
-  Place.after(Options.Heartbeat, [this] { beat(); });
-  WorldProcess *leader = Place.leader();
-  ++Beats;
+void ForwardFleet::registerServers() {
+  Sim.after(Options.Heartbeat, [this] { registerServers(); });
+  WorldProcess *leader = Sim.leader();
+  ++RegistrationRound;
   if (!leader || leader->Frozen)
     return;
-  if (!Proposed)
+  if (!DocumentDecided)
     leader->Replica->propose(
-        Place.now(), Command{.Body = PutDocument{1, packText("document")}},
-        [this](const auto &outcome) { Proposed = outcome.has_value(); });
+        Sim.now(), Command{.Body = PutDocument{1, packText("document")}},
+        [this](const auto &outcome) { DocumentDecided = outcome.has_value(); });
   for (std::uint32_t i = 0; i < Servers.size(); ++i) {
     const Server &it = Servers[i];
     if (!it.Up)
       continue;
-    const Duration cold = it.ColdUntil - Place.now();
-    leader->Replica->announce(Place.now(),
+    const Duration cold = it.ColdUntil - Sim.now();
+    leader->Replica->announce(Sim.now(),
                               {.Host = it.Name,
                                .Zone = zoneOf(i),
                                .Address = it.Address,
@@ -252,7 +252,7 @@
                                .Slots = Slots,
                                .Registered = true,
                                .ColdFor = std::max(cold, Duration::zero())},
-                              Beats);
+                              RegistrationRound);
   }
 }
 
@@ -264,9 +264,9 @@
                         std::function<void(const CallerAnswer &)> done,
                         const std::string &adapter) {
   const std::uint64_t key = ++LastKey;
-  Calls[key] = {.Answer = {.SentAt = Place.now()}, .Done = std::move(done)};
+  Calls[key] = {.Answer = {.SentAt = Sim.now()}, .Done = std::move(done)};
   if (!entry.Alive)
-    return endCall(key, /*whole=*/false);
+    return endCall(key, /*complete=*/false);
   const RequestHead head{
       "POST",
       Path + content,
@@ -274,104 +274,105 @@
        {"id", "r" + std::to_string(key)},
        {"time", "6000"},
        {"adapter", Options.Engines ? adapter : std::string()}}};
-  Place.atProcess(entry.Spec.Host, entry.Incarnation, [=](WorldProcess &it) {
-    it.Forward->request(it.In.now(), key, head, content,
+  Sim.atProcess(entry.Spec.Host, entry.Incarnation, [=](WorldProcess &it) {
+    it.Forward->request(it.Owner.now(), key, head, content,
                         ContentHasher().add(content).finish());
   });
 }
 
-void ForwardFleet::endCall(std::uint64_t key, bool whole) {
+void ForwardFleet::endCall(std::uint64_t key, bool complete) {
   const auto it = Calls.find(key);
   if (it == Calls.end())
     return;
   Call call = std::move(it->second);
   Calls.erase(it);
-  call.Answer.EndedAt = Place.now();
-  call.Answer.Whole = whole;
+  call.Answer.EndedAt = Sim.now();
+  call.Answer.Whole = complete;
   if (call.Done)
-    Place.after(Duration::zero(),
-                [call = std::move(call)] { call.Done(call.Answer); });
+    Sim.after(Duration::zero(),
+              [call = std::move(call)] { call.Done(call.Answer); });
 }
 
 //===----------------------------------------------------------------------===//
 // Servers
 //===----------------------------------------------------------------------===//
 
-ForwardFleet::Server *ForwardFleet::at(const std::string &address) {
+ForwardFleet::Server *ForwardFleet::findServer(const std::string &address) {
   const auto it = std::ranges::find(Servers, address, &Server::Address);
   return it == Servers.end() ? nullptr : &*it;
 }
 
-void ForwardFleet::tell(const Run &run,
-                        std::function<void(ForwardNode &)> action) {
-  Place.after(Options.Latency, [this, run, action] {
-    Place.atProcess(run.Entry.Host, run.Entry.Incarnation,
-                    [action](WorldProcess &it) { action(*it.Forward); });
+void ForwardFleet::callEntry(const Run &run,
+                             std::function<void(ForwardNode &)> action) {
+  Sim.after(Options.Latency, [this, run, action] {
+    Sim.atProcess(run.Entry.Host, run.Entry.Incarnation,
+                  [action](WorldProcess &it) { action(*it.Forward); });
   });
 }
 
 void ForwardFleet::onSend(WorldProcess &entry, const SendUpstream &send) {
-  const Server *server = at(send.Address);
+  const Server *server = findServer(send.Address);
   const auto i = static_cast<std::size_t>(server - Servers.data());
   Run run{.Attempt = send.Attempt,
           .Entry = {entry.Spec.Host, entry.Incarnation},
           .Id = *findHeader(send.Head.Headers, "id"),
           .Content = send.Head.Target.substr(std::string_view(Path).size())};
-  Place.after(Options.Latency, [this, i, run, expected = send.Server.Name] {
-    onArrival(i, expected, run);
+  Sim.after(Options.Latency, [this, i, run, expectedName = send.Server.Name] {
+    onArrival(i, expectedName, run);
   });
 }
 
-void ForwardFleet::onArrival(std::size_t i, const HostName &expected, Run run) {
+void ForwardFleet::onArrival(std::size_t i, const HostName &expectedName,
+                             Run run) {
   Server &server = Servers[i];
-  if (server.Dark)
+  if (server.PoweredOff)
     return;
   if (!server.Up)
-    return tell(run, [this, run](ForwardNode &it) {
-      it.upstreamEnd(Place.now(), run.Attempt, UpstreamEnding::NotSent);
+    return callEntry(run, [this, run](ForwardNode &it) {
+      it.upstreamEnd(Sim.now(), run.Attempt, UpstreamEnding::NotSent);
     });
-  if (server.Name != expected)
-    return tell(run, [this, run](ForwardNode &it) {
-      it.upstreamHead(Place.now(), run.Attempt,
+  if (server.Name != expectedName)
+    return callEntry(run, [this, run](ForwardNode &it) {
+      it.upstreamHead(Sim.now(), run.Attempt,
                       {StatusMisdirected, {{"id", run.Id}, {"not-run", "1"}}});
     });
-  Arrivals.push_back({.At = Place.now(),
+  Arrivals.push_back({.At = Sim.now(),
                       .Content = run.Content,
                       .Server = server.Name,
                       .Entry = run.Entry,
                       .Zone = zoneOf(static_cast<std::uint32_t>(i)),
-                      .Cold = Place.now() < server.ColdUntil});
+                      .Cold = Sim.now() < server.ColdUntil});
   if (server.Asks.Rest)
-    return turnAway(server, run);
+    return reject(server, run);
   const std::uint64_t id = ++LastRun;
   server.Runs.emplace(id, run);
-  const Duration wait = fromSeconds(toSeconds(Options.FirstEvent) *
-                                    (0.5 + Place.Chance.uniform()));
-  Place.after(wait, [this, i, id] { onEvent(i, id, 1); });
+  const Duration wait =
+      fromSeconds(toSeconds(Options.FirstEvent) * (0.5 + Sim.Rng.uniform()));
+  Sim.after(wait, [this, i, id] { onEvent(i, id, 1); });
 }
 
-void ForwardFleet::turnAway(const Server &server, const Run &run) {
+void ForwardFleet::reject(const Server &server, const Run &run) {
   const double seconds = toSeconds(*server.Asks.Rest);
-  tellHead(server, run, StatusUnavailable,
+  sendHead(server, run, StatusUnavailable,
            {{"not-run", "1"}, {"rest", std::to_string(seconds)}});
 }
 
-void ForwardFleet::tellHead(const Server &server, const Run &run, int status,
+void ForwardFleet::sendHead(const Server &server, const Run &run, int status,
                             HttpHeaders headers) {
-  ServerAsks asks = server.Asks;
+  ScriptedFeedback feedback = server.Asks;
   // Only a rejection carries the backoff.
   if (status != StatusUnavailable)
-    asks.Rest.reset();
+    feedback.Rest.reset();
   headers.push_back({"id", run.Id});
-  if (asks.Limit)
-    headers.push_back({"limit", std::to_string(*asks.Limit)});
-  if (asks.Leaving)
+  if (feedback.Limit)
+    headers.push_back({"limit", std::to_string(*feedback.Limit)});
+  if (feedback.Leaving)
     headers.push_back({"leaving", "1"});
-  tell(run, [this, run, status, headers, asks,
-             name = server.Name](ForwardNode &node) {
-    if (asks.Limit || asks.Rest || asks.Leaving)
-      Told.push_back({Place.now(), name, run.Entry, asks});
-    node.upstreamHead(Place.now(), run.Attempt, {status, headers});
+  callEntry(run, [this, run, status, headers, feedback,
+                  name = server.Name](ForwardNode &node) {
+    if (feedback.Limit || feedback.Rest || feedback.Leaving)
+      Deliveries.push_back({Sim.now(), name, run.Entry, feedback});
+    node.upstreamHead(Sim.now(), run.Attempt, {status, headers});
   });
 }
 
@@ -382,70 +383,69 @@
   if (it == server.Runs.end())
     return;
   const Run run = it->second;
-  if (Deadly.contains(run.Content)) {
-    Place.after(Options.CrashAfter, [this, i, name = server.Name, run] {
+  if (CrashingContents.contains(run.Content)) {
+    Sim.after(Options.CrashDelay, [this, i, name = server.Name, run] {
       if (Servers[i].Up && Servers[i].Name == name)
         crash(Servers[i], run.Content);
     });
     return;
   }
   if (event == 1)
-    tellHead(server, run, StatusOk, {{"stamp", "s"}});
-  tell(run, [this, run, event](ForwardNode &node) {
-    node.upstreamBody(Place.now(), run.Attempt, eventText(event));
+    sendHead(server, run, StatusOk, {{"stamp", "s"}});
+  callEntry(run, [this, run, event](ForwardNode &node) {
+    node.upstreamBody(Sim.now(), run.Attempt, eventText(event));
   });
   if (event < Options.Events) {
-    Place.after(Options.EventPause,
-                [this, i, id, event] { onEvent(i, id, event + 1); });
+    Sim.after(Options.EventInterval,
+              [this, i, id, event] { onEvent(i, id, event + 1); });
     return;
   }
   server.Runs.erase(id);
-  tell(run, [this, run](ForwardNode &node) {
-    node.upstreamEnd(Place.now(), run.Attempt, UpstreamEnding::Complete);
+  callEntry(run, [this, run](ForwardNode &node) {
+    node.upstreamEnd(Sim.now(), run.Attempt, UpstreamEnding::Complete);
   });
 }
 
 void ForwardFleet::onCheck(WorldProcess &entry, const CheckServer &check) {
   constexpr Duration Timeout = std::chrono::milliseconds(200);
-  const Server *server = at(check.Address);
+  const Server *server = findServer(check.Address);
   ServerLife life = server->Up ? ServerLife::Lives : ServerLife::Ended;
-  if (server->Dark)
+  if (server->PoweredOff)
     life = ServerLife::Unknown;
   const Duration wait =
       life == ServerLife::Unknown ? Timeout : 2 * Options.Latency;
-  Place.after(wait,
-              [this, host = entry.Spec.Host, incarnation = entry.Incarnation,
-               process = check.Server, life] {
-                Place.atProcess(host, incarnation, [=](WorldProcess &it) {
-                  it.Forward->serverChecked(it.In.now(), process, life);
-                });
+  Sim.after(wait,
+            [this, host = entry.Spec.Host, incarnation = entry.Incarnation,
+             process = check.Server, life] {
+              Sim.atProcess(host, incarnation, [=](WorldProcess &it) {
+                it.Forward->serverChecked(it.Owner.now(), process, life);
               });
+            });
 }
 
 void ForwardFleet::crash(Server &server, const std::string &content) {
-  ServerCrash crash{
-      .At = Place.now(), .Server = server.Name, .Content = content};
+  ServerCrash crash{.At = Sim.now(), .Server = server.Name, .Content = content};
   server.Up = false;
   server.Asks = {};
   for (const auto &it : std::exchange(server.Runs, {})) {
     const Run &run = it.second;
-    crash.AtWork.push_back(run.Content);
-    tell(run, [this, run](ForwardNode &node) {
-      node.upstreamEnd(Place.now(), run.Attempt, UpstreamEnding::BrokeOff);
+    crash.RequestsInFlight.push_back(run.Content);
+    callEntry(run, [this, run](ForwardNode &node) {
+      node.upstreamEnd(Sim.now(), run.Attempt, UpstreamEnding::BrokeOff);
     });
   }
   Crashes.push_back(std::move(crash));
   const auto i = static_cast<std::uint32_t>(&server - Servers.data());
   if (Options.Engines)
     agent(i).Engine->setDown(true);
-  Place.after(Options.BackAfter, [this, i] {
+  Sim.after(Options.RestartDelay, [this, i] {
     if (Options.Engines)
       agent(i).Engine->setDown(false);
     Server &it = Servers[i];
     it.Name = HostName("server-" + std::to_string(i) + "." +
                        std::to_string(++it.Starts));
     it.Up = true;
-    it.Dark = false;
+    it.PoweredOff = false;
     if (Options.ColdPerSecond > 0)
       chillServer(i);
   });
@@ -459,7 +459,7 @@
 void ForwardFleet::darkenServer(std::uint32_t i) {
   if (!Servers[i].Up)
     return;
-  Servers[i].Dark = true;
+  Servers[i].PoweredOff = true;
   Servers[i].Runs.clear();
 }
 
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
@@ -16,12 +16,12 @@
   /// Mean time from a request's arrival at a server to its first event, and the
   /// time between two events.
   Duration FirstEvent = std::chrono::milliseconds(150);
-  Duration EventPause = std::chrono::milliseconds(60);
+  Duration EventInterval = std::chrono::milliseconds(60);
   std::uint32_t Events = 16;
   /// Time from when a server would send the first event of a crashing request
   /// until it crashes, and from a crash until its next process starts.
-  Duration CrashAfter = std::chrono::milliseconds(50);
-  Duration BackAfter = std::chrono::seconds(4);
+  Duration CrashDelay = std::chrono::milliseconds(50);
+  Duration RestartDelay = std::chrono::seconds(4);
   /// The servers are engines, each with an agent on its host.
   bool Engines = false;
   /// Maximum number of adapters that an engine holds.
@@ -56,7 +56,7 @@
 };
 
 /// Feedback that a server sends with its answers.
-struct ServerAsks {
+struct ScriptedFeedback {
   /// Requests a second, from all entries together.
   std::optional<double> Limit;
   /// The server rejects all new requests and asks for none during this time.
@@ -76,7 +76,7 @@
   TimePoint At;
   HostName Server;
   EntryProcess Entry;
-  ServerAsks Asks;
+  ScriptedFeedback Asks;
 };
 
 /// The arrival of a request at a server.
@@ -97,7 +97,7 @@
   /// Content of the crashing request; empty for a crash without one.
   std::string Content;
   /// Contents of all requests in flight at the server.
-  std::vector<std::string> AtWork;
+  std::vector<std::string> RequestsInFlight;
 };
 
 /// \class ForwardFleet
@@ -116,21 +116,23 @@
   explicit ForwardFleet(const ForwardFleetOptions &options);
   ~ForwardFleet();
 
-  TimePoint now() const { return Place.now(); }
-  void runFor(Duration d) { Place.runUntil(Place.now() + d); }
+  TimePoint now() const { return Sim.now(); }
+  void runFor(Duration d) { Sim.runUntil(Sim.now() + d); }
   WorldProcess &entry(std::uint32_t i);
   WorldProcess &replica(std::uint32_t i);
-  World &world() { return Place; }
+  World &world() { return Sim; }
   /// Cuts the links between \p host and all replicas until World::healAll().
   void cutOffReplicas(const HostName &host);
 
-  void addDeadly(const std::string &content) { Deadly.insert(content); }
+  void addDeadly(const std::string &content) {
+    CrashingContents.insert(content);
+  }
   /// Sends an attempt with \p content to an entry. \p done gets the answer.
   void call(WorldProcess &entry, const std::string &content,
             std::function<void(const CallerAnswer &)> done = {},
             const std::string &adapter = "a");
   /// Sets the feedback that server \p i sends with each answer from now on.
-  void setAsks(std::uint32_t i, const ServerAsks &asks);
+  void setAsks(std::uint32_t i, const ScriptedFeedback &feedback);
   HostName serverName(std::uint32_t i) const { return Servers[i].Name; }
   ZoneName zoneOf(std::uint32_t server) const;
   /// Makes server \p i cold, as if it had just started.
@@ -138,19 +140,19 @@
   /// \pre the servers are engines.
   WorldProcess &agent(std::uint32_t i);
   /// Crashes server \p i without a crashing request. Its next process starts
-  /// after `BackAfter`.
+  /// after `RestartDelay`.
   void crashServer(std::uint32_t i);
   /// Simulates a power loss of server \p i: connections aren't closed, requests
   /// and checks aren't answered.
   void darkenServer(std::uint32_t i);
 
   const std::vector<ServerArrival> &arrivals() const { return Arrivals; }
-  const std::vector<FeedbackTold> &told() const { return Told; }
+  const std::vector<FeedbackTold> &told() const { return Deliveries; }
   const std::vector<ServerCrash> &crashes() const { return Crashes; }
-  const std::vector<ForwardEvent> &events() const { return Seen; }
+  const std::vector<ForwardEvent> &events() const { return RecordedEvents; }
 
 private:
-  class Front;
+  class EntrySink;
   class FixedDocument;
   struct Run {
     AttemptId Attempt;
@@ -162,10 +164,10 @@
     HostName Name;
     std::string Address;
     bool Up = true;
-    bool Dark = false;
+    bool PoweredOff = false;
     std::uint64_t Starts = 0;
     TimePoint ColdUntil;
-    ServerAsks Asks;
+    ScriptedFeedback Asks;
     std::map<std::uint64_t, Run> Runs;
   };
   struct Call {
@@ -177,39 +179,39 @@
   void addEntries();
   void addServers();
   void addAgent(std::uint32_t i);
-  void beat();
-  Server *at(const std::string &address);
+  void registerServers();
+  Server *findServer(const std::string &address);
   void onSend(WorldProcess &entry, const SendUpstream &send);
   void onCheck(WorldProcess &entry, const CheckServer &check);
-  void onArrival(std::size_t server, const HostName &expected, Run run);
+  void onArrival(std::size_t server, const HostName &expectedName, Run run);
   /// Rejects a request that isn't run, with the server's backoff.
-  void turnAway(const Server &server, const Run &run);
-  void tellHead(const Server &server, const Run &run, int status,
+  void reject(const Server &server, const Run &run);
+  void sendHead(const Server &server, const Run &run, int status,
                 HttpHeaders headers);
   void onEvent(std::size_t server, std::uint64_t run, std::uint32_t event);
   void crash(Server &server, const std::string &content);
   /// Calls \p action after `Latency` at the entry of \p run, if that
   /// incarnation is still alive.
-  void tell(const Run &run, std::function<void(ForwardNode &)> action);
-  void endCall(std::uint64_t key, bool whole);
+  void callEntry(const Run &run, std::function<void(ForwardNode &)> action);
+  void endCall(std::uint64_t key, bool complete);
 
   ForwardFleetOptions Options;
-  World Place;
+  World Sim;
   PlainHeaders Headers;
   std::unique_ptr<FixedDocument> Document;
   std::vector<std::string> Addresses;
   std::vector<Server> Servers;
-  std::map<HostName, std::unique_ptr<Front>> Fronts;
+  std::map<HostName, std::unique_ptr<EntrySink>> EntrySinks;
   std::map<std::uint64_t, Call> Calls;
-  std::set<std::string> Deadly;
+  std::set<std::string> CrashingContents;
   std::uint64_t LastKey = 0;
   std::uint64_t LastRun = 0;
-  std::uint64_t Beats = 0;
-  bool Proposed = false;
+  std::uint64_t RegistrationRound = 0;
+  bool DocumentDecided = false;
   std::vector<ServerArrival> Arrivals;
-  std::vector<FeedbackTold> Told;
+  std::vector<FeedbackTold> Deliveries;
   std::vector<ServerCrash> Crashes;
-  std::vector<ForwardEvent> Seen;
+  std::vector<ForwardEvent> RecordedEvents;
 };
 
 } // namespace pimentofront::testkit
--- a/packages/testkit/pimentofront/src/Testkit/Ledger.h
+++ b/packages/testkit/pimentofront/src/Testkit/Ledger.h
@@ -29,38 +29,38 @@
 public:
   /// Maximum time from the acceptance of a configuration change, as reported to
   /// the operator, until every entry applies it.
-  static constexpr Duration InForceLimit = std::chrono::seconds(6);
+  static constexpr Duration MaxPropagationTime = std::chrono::seconds(6);
 
-  RequestRecord &sent(TimePoint now, RequestKey key,
-                      const CallerRequest &request);
+  RequestRecord &recordSubmitted(TimePoint now, RequestKey key,
+                                 const CallerRequest &request);
   RequestRecord *find(RequestKey key);
-  void ended(TimePoint now, RequestKey key, const FinalAnswer &answer);
+  void recordOutcome(TimePoint now, RequestKey key, const FinalAnswer &answer);
   /// Records that an entry sent a request to a host. On the first send, the
   /// adapter version that the entry resolved must be live. Later sends aren't
   /// checked: a request keeps its resolved version when its host is slow or
   /// when another host continues it.
-  void routed(TimePoint now, const ExecuteRequest &request);
+  void recordRouted(TimePoint now, const ExecuteRequest &request);
   /// Records that an engine or service began to run a request.
-  void started(TimePoint now, const ExecuteRequest &request);
+  void recordStarted(TimePoint now, const ExecuteRequest &request);
   /// Records that an operator proposed \p live as the live versions. They may
   /// be in force until the proposal is answered.
-  void declaring(const AdapterName &adapter,
-                 const std::vector<VersionNumber> &live);
+  void recordProposal(const AdapterName &adapter,
+                      const std::vector<VersionNumber> &live);
   /// Records that the proposal was declined.
-  void notDeclared(const AdapterName &adapter,
-                   const std::vector<VersionNumber> &live);
+  void recordDeclined(const AdapterName &adapter,
+                      const std::vector<VersionNumber> &live);
   /// Records that the proposal was accepted with revision \p at. Answers may
   /// arrive out of order; an answer with an older revision changes nothing.
-  void declared(TimePoint now, const AdapterName &adapter,
-                const std::vector<VersionNumber> &live, Revision at);
+  void recordAccepted(TimePoint now, const AdapterName &adapter,
+                      const std::vector<VersionNumber> &live, Revision at);
   /// Records the configuration revision of a process; within one incarnation it
   /// must never decrease.
-  void sawRevision(const HostName &host, std::uint64_t incarnation,
-                   Revision revision);
+  void recordRevision(const HostName &host, std::uint64_t incarnation,
+                      Revision revision);
   /// Adds \p what to the violations.
-  void violation(TimePoint now, const std::string &what);
+  void addViolation(TimePoint now, const std::string &what);
 
-  std::uint32_t runsOf(const RequestId &id) const;
+  std::uint32_t runCount(const RequestId &id) const;
   const std::vector<std::string> &violations() const { return Violations; }
   const std::map<RequestKey, RequestRecord> &requests() const {
     return Requests;
@@ -70,11 +70,11 @@
   void checkState(TimePoint now, const Configuration &state);
   /// Stops keeping and checking answer texts, for replays of many thousands of
   /// requests.
-  void forgetTexts() { KeepTexts = false; }
+  void discardTexts() { KeepTexts = false; }
   bool keepsTexts() const { return KeepTexts; }
 
 private:
-  bool mayBeLive(const AdapterKey &key) const;
+  bool isProposedLive(const AdapterKey &key) const;
   void checkAnswer(TimePoint now, const RequestRecord &record);
 
   std::map<RequestKey, RequestRecord> Requests;
@@ -83,10 +83,11 @@
   std::map<AdapterName, std::vector<VersionNumber>> Live;
   std::map<AdapterName, Revision> LiveSince;
   /// Proposals that haven't been answered; each may be in force.
-  std::map<AdapterName, std::multiset<std::vector<VersionNumber>>> Declaring;
+  std::map<AdapterName, std::multiset<std::vector<VersionNumber>>>
+      OpenProposals;
   /// When a version stopped being live.
   std::map<AdapterKey, TimePoint> Retired;
-  std::map<std::pair<HostName, std::uint64_t>, Revision> Seen;
+  std::map<std::pair<HostName, std::uint64_t>, Revision> LatestRevisions;
   std::vector<std::string> Violations;
   bool KeepTexts = true;
 };
--- a/packages/testkit/pimentofront/src/Testkit/RandomScenario.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/RandomScenario.cpp
@@ -12,9 +12,9 @@
 } // namespace
 
 std::string randomScenario(std::uint64_t seed) {
-  Random chance(seed);
+  Random rng(seed);
   const auto pick = [&](const Words &from) {
-    return from[chance.next() % from.size()];
+    return from[rng.next() % from.size()];
   };
   std::stringstream text;
   text << "0 entry+replica n1 suva\n0 entry+replica n2 nadi\n"
@@ -29,33 +29,34 @@
   const Words agents = {"w1", "w2", "w3"};
   const Words entries = {"n1", "n2"};
   constexpr double Begin = 5;
-  constexpr double Faults = 25;
+  constexpr double FaultPeriod = 25;
   for (int i = 0; i < 120; ++i) {
-    const double at = Begin + Faults * chance.uniform();
+    const double at = Begin + FaultPeriod * rng.uniform();
     text << at << " request q" << i << " " << pick({"a", "b", "c", "d", "e"})
-         << " via " << pick(entries) << " tokens=" << 5 + chance.next() % 60
+         << " via " << pick(entries) << " tokens=" << 5 + rng.next() % 60
          << " timeout=8\n";
   }
   for (int i = 0; i < 30; ++i) {
-    const double at = Begin + Faults * chance.uniform();
+    const double at = Begin + FaultPeriod * rng.uniform();
     text << at << " order o" << i << " via " << pick(entries) << "\n";
-    text << at + 3 * chance.uniform() << " order o" << i << " via "
+    text << at + 3 * rng.uniform() << " order o" << i << " via "
          << pick(entries) << "\n";
   }
   for (int i = 0; i < 12; ++i) {
-    const double at = Begin + Faults * chance.uniform();
+    const double at = Begin + FaultPeriod * rng.uniform();
     text << at << " version a " << 2 + i / 3 << " via " << pick(entries)
          << "\n";
-    text << at + 1 << " live a " << 1 + chance.next() % 5 << " via "
+    text << at + 1 << " live a " << 1 + rng.next() % 5 << " via "
          << pick(entries) << "\n";
   }
   // At most one disk is lost: losing a second one before the group has
   // recovered from the first can lose accepted changes.
   bool diskLost = false;
-  for (double at = Begin; at < Begin + Faults; at += 2 + 3 * chance.uniform()) {
+  for (double at = Begin; at < Begin + FaultPeriod;
+       at += 2 + 3 * rng.uniform()) {
     const std::string victim = pick(all);
-    const double back = at + 0.3 + 4 * chance.uniform();
-    switch (chance.next() % 7) {
+    const double back = at + 0.3 + 4 * rng.uniform();
+    switch (rng.next() % 7) {
     case 0:
       text << at << " kill " << victim << "\n"
            << back << " start " << victim << "\n";
--- a/packages/testkit/pimentofront/src/Testkit/Replay.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.cpp
@@ -8,9 +8,9 @@
 
 /// Time before the trace begins, in which the replica group elects a leader and
 /// the agents register.
-constexpr Duration WarmUp = std::chrono::seconds(5);
+constexpr Duration StartupTime = std::chrono::seconds(5);
 /// Time after the last request, in which the remaining answers arrive.
-constexpr Duration CoolDown = std::chrono::seconds(35);
+constexpr Duration DrainTime = std::chrono::seconds(35);
 
 HostName replicaName(std::uint32_t i) {
   return HostName("entry-" + std::to_string(i));
@@ -72,43 +72,43 @@
 public:
   Replayer(const Deployment &deployment, const PolicySpec &policy,
            const Trace &trace, ReplayFault fault, std::uint64_t seed)
-      : Size(deployment), Policy(policy), Requests(trace), Fault(fault),
-        Place({.Seed = seed,
-               .BetweenZones = deployment.BetweenZones,
-               .Store = {.LoadsPerSecond = deployment.LoadsPerSecond}}) {
-    Place.Book.forgetTexts();
+      : Cluster(deployment), Policy(policy), Requests(trace), Fault(fault),
+        Sim({.Seed = seed,
+             .BetweenZones = deployment.BetweenZones,
+             .Store = {.LoadsPerSecond = deployment.LoadsPerSecond}}) {
+    Sim.RequestLedger.discardTexts();
   }
 
-  ReplayFigures run() {
+  ReplayResult run() {
     addEntries();
     addAgents();
-    Place.runUntil(Place.now() + WarmUp);
-    Begin = Place.now();
+    Sim.runUntil(Sim.now() + StartupTime);
+    Begin = Sim.now();
     const Duration length = Requests.Requests.empty()
                                 ? Duration::zero()
                                 : Requests.Requests.back().At;
     for (const TraceRequest &it : Requests.Requests)
-      Place.after(it.At, [this, &it] { send(it); });
-    Place.after(length / 2, [this] { strike(); });
-    Place.runUntil(Begin + length + CoolDown);
-    return figures(length);
+      Sim.after(it.At, [this, &it] { send(it); });
+    Sim.after(length / 2, [this] { injectFault(); });
+    Sim.runUntil(Begin + length + DrainTime);
+    return collectResult(length);
   }
 
 private:
   const std::string &zoneOf(std::uint32_t i) const {
-    return Size.Zones[i % Size.Zones.size()];
+    return Cluster.Zones[i % Cluster.Zones.size()];
   }
 
   void addEntries() {
     ReplicaGroup group;
-    for (std::uint32_t i = 0; i < Size.Entries; ++i) {
+    for (std::uint32_t i = 0; i < Cluster.Entries; ++i) {
       group.Replicas.push_back({.Id = 1 + i,
                                 .Host = replicaName(i),
                                 .Address = replicaName(i).str()});
       Addresses.push_back(replicaName(i).str());
     }
-    const std::string state = initialState(Size, Fault);
-    for (std::uint32_t i = 0; i < Size.Entries; ++i) {
+    const std::string state = initialState(Cluster, Fault);
+    for (std::uint32_t i = 0; i < Cluster.Entries; ++i) {
       const HostName host = replicaName(i);
       ProcessSpec spec{.Host = host, .Zone = ZoneName(zoneOf(i))};
       spec.IsEntry = true;
@@ -117,67 +117,70 @@
       spec.Replica.Log.Host = host;
       spec.Replica.Log.Address = host.str();
       spec.Replica.Others = Addresses;
-      spec.Replica.Loads = {.LoadsPerSecond = Size.LoadsPerSecond,
-                            .LoadTime = fromSeconds(1 / Size.LoadsPerSecond)};
+      spec.Replica.Loads = {.LoadsPerSecond = Cluster.LoadsPerSecond,
+                            .LoadTime =
+                                fromSeconds(1 / Cluster.LoadsPerSecond)};
       spec.MakeRouting = [this] { return makeRouting(Policy); };
-      WorldProcess &process = Place.add(spec);
+      WorldProcess &process = Sim.add(spec);
       process.Disk = std::make_unique<MemoryLogStore>(1 + i);
       process.Disk->Stored.Snapshot = LogSnapshot::make(1, 1, group, state);
-      Place.start(process);
+      Sim.start(process);
     }
   }
 
   void addAgents() {
-    for (std::uint32_t i = 0; i < Size.Workers; ++i) {
+    for (std::uint32_t i = 0; i < Cluster.Workers; ++i) {
       const HostName host("worker-" + std::to_string(i));
       ProcessSpec spec{.Host = host, .Zone = ZoneName(zoneOf(i))};
       spec.IsAgent = true;
-      spec.Engine = Size.Engine;
-      spec.Agent = {.Agent = {.Host = host,
-                              .BaseModel = "base",
-                              .Slots = Size.Engine.Slots,
-                              .BatchCapacity = Size.Engine.BatchCapacity,
-                              .Popularity = Policy.Popularity,
-                              .LoadTime = fromSeconds(1 / Size.LoadsPerSecond),
-                              .SpillDelay = Policy.SpillDelay,
-                              .RefusesEarly = Policy.RefusesEarly,
-                              .StallShare = Policy.StallShare,
-                              .CompanyShare = Policy.CompanyShare,
-                              .CompanyLimit = Policy.CompanyLimit},
-                    .Zone = spec.Zone,
-                    .Address = host.str(),
-                    .Replicas = Addresses};
+      spec.Engine = Cluster.Engine;
+      spec.Agent = {
+          .Agent = {.Host = host,
+                    .BaseModel = "base",
+                    .Slots = Cluster.Engine.Slots,
+                    .BatchCapacity = Cluster.Engine.BatchCapacity,
+                    .Popularity = Policy.Popularity,
+                    .LoadTime = fromSeconds(1 / Cluster.LoadsPerSecond),
+                    .SpillDelay = Policy.SpillDelay,
+                    .RefusesEarly = Policy.RefusesEarly,
+                    .StallShare = Policy.StallShare,
+                    .CompanyShare = Policy.CompanyShare,
+                    .CompanyLimit = Policy.CompanyLimit},
+          .Zone = spec.Zone,
+          .Address = host.str(),
+          .Replicas = Addresses};
       spec.MakeEviction = [this] { return makeEviction(Policy); };
-      spec.MakeGate = [this] { return makeGate(Policy, Size); };
-      Place.start(Place.add(spec));
+      spec.MakeGate = [this] { return makeGate(Policy, Cluster); };
+      Sim.start(Sim.add(spec));
     }
   }
 
   void send(const TraceRequest &request) {
-    WorldProcess *entry = &Place.process(replicaName(request.Entry));
+    WorldProcess *entry = &Sim.process(replicaName(request.Entry));
     // The platform's load balancer skips entries that aren't ready.
-    for (std::uint32_t i = 1; i < Size.Entries; ++i)
-      if (!entry->Alive || !entry->Entry->ready(Place.now()))
-        entry = &Place.process(replicaName((request.Entry + i) % Size.Entries));
-    Place.request(*entry, {.Id = RequestId("r" + std::to_string(++LastId)),
-                           .Caller = CallerName("caller"),
-                           .Kind = request.Kind,
-                           .Adapter = request.Adapter,
-                           .Prompt = request.Prompt,
-                           .MaxTokens = request.Tokens});
+    for (std::uint32_t i = 1; i < Cluster.Entries; ++i)
+      if (!entry->Alive || !entry->Entry->ready(Sim.now()))
+        entry =
+            &Sim.process(replicaName((request.Entry + i) % Cluster.Entries));
+    Sim.request(*entry, {.Id = RequestId("r" + std::to_string(++LastId)),
+                         .Caller = CallerName("caller"),
+                         .Kind = request.Kind,
+                         .Adapter = request.Adapter,
+                         .Prompt = request.Prompt,
+                         .MaxTokens = request.Tokens});
   }
 
-  void strike() {
+  void injectFault() {
     if (Fault == ReplayFault::ColdThird) {
       std::uint32_t i = 0;
-      for (WorldProcess *it : Place.processes())
+      for (WorldProcess *it : Sim.processes())
         if (it->Engine && i++ % 3 == 0)
           it->Engine->restart();
     }
     if (Fault != ReplayFault::LeaderLost)
       return;
-    if (WorldProcess *it = Place.leader())
-      Place.kill(*it);
+    if (WorldProcess *it = Sim.leader())
+      Sim.kill(*it);
   }
 
   /// \returns the stall of a request: the time it waited for its adapter if it
@@ -188,34 +191,34 @@
     return toSeconds(record.EndedAt - record.SentAt);
   }
 
-  static double percentile(std::vector<double> values, double part) {
+  static double percentile(std::vector<double> values, double fraction) {
     if (values.empty())
       return 0;
     std::ranges::sort(values);
     const auto at = static_cast<std::size_t>(
-        std::llround(part * static_cast<double>(values.size() - 1)));
+        std::llround(fraction * static_cast<double>(values.size() - 1)));
     return values[at];
   }
 
   Duration windowOf(const KindName &kind) const {
-    for (const KindShare &it : Size.Kinds)
+    for (const KindShare &it : Cluster.Kinds)
       if (it.Kind.Name == kind)
         return it.Kind.Window;
     return Duration::zero();
   }
 
-  ReplayFigures figures(Duration length) {
-    ReplayFigures result;
+  ReplayResult collectResult(Duration length) {
+    ReplayResult result;
     result.StallByTenth.resize(10);
     std::map<KindName, std::vector<double>> stalls;
     std::vector<double> all;
     std::vector<double> refusals;
     std::uint64_t useful = 0;
-    for (const auto &[key, it] : Place.Book.requests()) {
+    for (const auto &[key, it] : Sim.RequestLedger.requests()) {
       if (!it.Ended) // Its entry was killed; its caller lost the connection.
         continue;
       const double stall = stallOf(it);
-      KindFigures &kind = result.Kinds[it.Request.Kind];
+      KindResult &kind = result.Kinds[it.Request.Kind];
       ++kind.Sent;
       ++result.Sent;
       const bool answered = it.Answer.Kind == FinalKind::Answered;
@@ -244,28 +247,28 @@
     result.StallP95 = percentile(all, 0.95);
     result.StallP99 = percentile(all, 0.99);
     result.RefusalP99 = percentile(refusals, 0.99);
-    EngineFigures engines;
-    for (WorldProcess *it : Place.processes())
+    EngineCounters engines;
+    for (WorldProcess *it : Sim.processes())
       if (it->Engine) {
-        engines.Steps += it->Engine->figures().Steps;
-        engines.Loads += it->Engine->figures().Loads;
+        engines.Steps += it->Engine->counters().Steps;
+        engines.Loads += it->Engine->counters().Loads;
       }
     const double capacity =
-        static_cast<double>(engines.Steps) * Size.Engine.BatchCapacity;
+        static_cast<double>(engines.Steps) * Cluster.Engine.BatchCapacity;
     result.BatchEfficiency =
         capacity > 0 ? static_cast<double>(useful) / capacity : 0;
     result.Loads = engines.Loads;
-    result.FewestLoads =
-        fewestLoads(Requests, std::size_t(Size.Workers) * Size.Engine.Slots);
-    result.Violations = Place.Book.violations();
+    result.MinLoads =
+        minLoads(Requests, std::size_t(Cluster.Workers) * Cluster.Engine.Slots);
+    result.Violations = Sim.RequestLedger.violations();
     return result;
   }
 
-  const Deployment &Size;
+  const Deployment &Cluster;
   const PolicySpec &Policy;
   const Trace &Requests;
   ReplayFault Fault;
-  World Place;
+  World Sim;
   std::vector<std::string> Addresses;
   TimePoint Begin;
   std::uint64_t LastId = 0;
@@ -313,9 +316,8 @@
   return Names[static_cast<std::size_t>(fault)];
 }
 
-ReplayFigures replay(const Deployment &deployment, const PolicySpec &policy,
-                     const Trace &trace, ReplayFault fault,
-                     std::uint64_t seed) {
+ReplayResult replay(const Deployment &deployment, const PolicySpec &policy,
+                    const Trace &trace, ReplayFault fault, std::uint64_t seed) {
   return Replayer(deployment, policy, trace, fault, seed).run();
 }
 
--- a/packages/testkit/pimentofront/src/Testkit/Replay.h
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.h
@@ -48,9 +48,9 @@
 };
 const char *nameOf(ReplayFault fault);
 
-/// \class KindFigures
+/// \class KindResult
 /// \ingroup Testkit
-struct KindFigures {
+struct KindResult {
   std::uint64_t Sent = 0;
   std::uint64_t InWindow = 0;
   double StallTotal = 0;
@@ -58,11 +58,11 @@
   double StallP99 = 0;
 };
 
-/// \class ReplayFigures
+/// \class ReplayResult
 /// \ingroup Testkit
 /// \brief Results of a replay. Times are in seconds.
-struct ReplayFigures {
-  std::map<KindName, KindFigures> Kinds;
+struct ReplayResult {
+  std::map<KindName, KindResult> Kinds;
   std::uint64_t Sent = 0;
   std::uint64_t InWindow = 0;
   std::uint64_t Refused = 0;
@@ -78,16 +78,16 @@
   /// tokens that all steps could have generated with full batches.
   double BatchEfficiency = 0;
   std::uint64_t Loads = 0;
-  /// Number of loads of the optimal offline schedule; see fewestLoads().
-  std::uint64_t FewestLoads = 0;
+  /// Number of loads of the optimal offline schedule; see minLoads().
+  std::uint64_t MinLoads = 0;
   /// Total stall of the requests sent in each tenth of the trace.
   std::vector<double> StallByTenth;
   std::vector<std::string> Violations;
 };
 
 /// Replays \p trace against the production node classes in virtual time.
-ReplayFigures replay(const Deployment &deployment, const PolicySpec &policy,
-                     const Trace &trace, ReplayFault fault, std::uint64_t seed);
+ReplayResult replay(const Deployment &deployment, const PolicySpec &policy,
+                    const Trace &trace, ReplayFault fault, std::uint64_t seed);
 
 } // namespace pimentofront::testkit
 
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
@@ -33,34 +33,35 @@
 
 /// One parsed line of a scenario.
 struct Line {
-  std::string Place;
+  std::string Location;
   std::string Action;
-  Words Plain;
+  Words Positional;
   std::map<std::string, std::string> Named;
 
   std::string word(std::size_t i) const {
-    return i < Plain.size() ? Plain[i] : "";
+    return i < Positional.size() ? Positional[i] : "";
   }
-  std::string named(const std::string &key, const std::string &preset) const {
+  std::string named(const std::string &key, const std::string &fallback) const {
     const auto it = Named.find(key);
-    return it == Named.end() ? preset : it->second;
+    return it == Named.end() ? fallback : it->second;
   }
-  std::uint32_t number(const std::string &key, std::uint32_t preset) const {
+  std::uint32_t number(const std::string &key, std::uint32_t fallback) const {
     return static_cast<std::uint32_t>(
-        std::stoul(named(key, std::to_string(preset))));
+        std::stoul(named(key, std::to_string(fallback))));
   }
 };
 
-Line parseLine(const std::string &place, const Words &words) {
-  Line line{.Place = place, .Action = words[1]};
+Line parseLine(const std::string &location, const Words &words) {
+  Line line{.Location = location, .Action = words[1]};
   for (std::size_t i = 2; i < words.size(); ++i) {
-    const std::size_t sign = words[i].find('=');
+    const std::size_t equalsSign = words[i].find('=');
     if (words[i] == "via" && i + 1 < words.size())
       line.Named["via"] = words[++i];
-    else if (sign != std::string::npos)
-      line.Named[words[i].substr(0, sign)] = words[i].substr(sign + 1);
+    else if (equalsSign != std::string::npos)
+      line.Named[words[i].substr(0, equalsSign)] =
+          words[i].substr(equalsSign + 1);
     else
-      line.Plain.push_back(words[i]);
+      line.Positional.push_back(words[i]);
   }
   return line;
 }
@@ -69,30 +70,30 @@
 
 struct Scenario::Impl {
   explicit Impl(std::uint64_t seed)
-      : Place({.Seed = seed, .InZone = std::chrono::microseconds(200)}) {}
+      : Sim({.Seed = seed, .InZone = std::chrono::microseconds(200)}) {}
 
   using Action = void (Impl::*)(const Line &);
   static const std::map<std::string, Action> &actions();
 
-  World Place;
+  World Sim;
   ScenarioResult Result;
   std::vector<std::string> Replicas;
   std::map<std::string, std::string> Commands;
   std::uint64_t LastCommand = 0;
 
-  void fault(const Line &line, const std::string &what) {
-    Result.Faults.add(line.Place, line.Action + ": " + what);
+  void addError(const Line &line, const std::string &what) {
+    Result.Errors.add(line.Location, line.Action + ": " + what);
   }
 
   WorldProcess *find(const Line &line, const std::string &name) {
-    for (WorldProcess *it : Place.processes())
+    for (WorldProcess *it : Sim.processes())
       if (it->Spec.Host.str() == name)
         return it;
-    fault(line, "no process '" + name + "'");
+    addError(line, "no process '" + name + "'");
     return nullptr;
   }
 
-  WorldProcess *leader() { return Place.leader(); }
+  WorldProcess *leader() { return Sim.leader(); }
 
   //===--------------------------------------------------------------------===//
   // Processes and faults
@@ -125,28 +126,28 @@
     };
     spec.MakeEviction = [] { return std::make_unique<LeastPopular>(); };
     spec.MakeGate = [] { return std::make_unique<ScheduledLoads>(4, 3); };
-    Place.start(Place.add(spec));
+    Sim.start(Sim.add(spec));
   }
 
   void start(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)))
-      Place.start(*it);
+      Sim.start(*it);
   }
   void kill(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)))
-      Place.kill(*it);
+      Sim.kill(*it);
   }
   void freeze(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)))
-      Place.freeze(*it);
+      Sim.freeze(*it);
   }
   void wake(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)))
-      Place.wake(*it);
+      Sim.wake(*it);
   }
   void loseDisk(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)))
-      Place.loseDisk(*it);
+      Sim.loseDisk(*it);
   }
   void fullDisk(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)); it && it->Disk)
@@ -154,15 +155,15 @@
   }
   void leave(const Line &line) {
     if (WorldProcess *it = find(line, line.word(0)); it && it->Agent)
-      it->Agent->leave(Place.now());
+      it->Agent->leave(Sim.now());
   }
   void killLeader(const Line &) {
     if (WorldProcess *it = leader())
-      Place.kill(*it);
+      Sim.kill(*it);
   }
   void freezeLeader(const Line &) {
     if (WorldProcess *it = leader())
-      Place.freeze(*it);
+      Sim.freeze(*it);
   }
   void isolateLeader(const Line &) {
     if (const WorldProcess *it = leader())
@@ -183,28 +184,28 @@
   void cut(const Line &line) {
     const HostName a(line.word(0));
     const HostName b(line.word(1));
-    Place.cut(a, b);
+    Sim.cut(a, b);
     if (line.word(2) != "one-way")
-      Place.cut(b, a);
+      Sim.cut(b, a);
   }
   void isolateHost(const HostName &host) {
-    for (const WorldProcess *it : Place.processes()) {
+    for (const WorldProcess *it : Sim.processes()) {
       if (it->Spec.Host == host)
         continue;
-      Place.cut(host, it->Spec.Host);
-      Place.cut(it->Spec.Host, host);
+      Sim.cut(host, it->Spec.Host);
+      Sim.cut(it->Spec.Host, host);
     }
   }
   void isolate(const Line &line) { isolateHost(HostName(line.word(0))); }
-  void heal(const Line &) { Place.healAll(); }
+  void heal(const Line &) { Sim.healAll(); }
   void slow(const Line &line) {
-    Place.slow(HostName(line.word(0)), HostName(line.word(1)),
-               std::chrono::milliseconds(std::stoi(line.word(2))));
+    Sim.slow(HostName(line.word(0)), HostName(line.word(1)),
+             std::chrono::milliseconds(std::stoi(line.word(2))));
   }
   void bootstrap(const Line &line) {
     WorldProcess *it = find(line, line.word(0));
     if (it && it->Replica)
-      it->Replica->bootstrap(Place.now());
+      it->Replica->bootstrap(Sim.now());
   }
 
   //===--------------------------------------------------------------------===//
@@ -223,7 +224,7 @@
     const Command command{.Id = CommandId(name),
                           .Operator = OperatorName(line.named("by", "anna")),
                           .Body = std::move(body)};
-    Place.command(*entry, command, [=, this](const auto &outcome) {
+    Sim.command(*entry, command, [=, this](const auto &outcome) {
       if (!outcome)
         return;
       Commands[name] = nameOf(outcome->Result);
@@ -236,16 +237,16 @@
     });
   }
 
-  void declare(const Line &line, const std::string &id,
-               const AdapterName &adapter,
-               const std::vector<VersionNumber> &versions) {
-    Place.Book.declaring(adapter, versions);
+  void proposeLive(const Line &line, const std::string &id,
+                   const AdapterName &adapter,
+                   const std::vector<VersionNumber> &versions) {
+    Sim.RequestLedger.recordProposal(adapter, versions);
     propose(
         line, id, DeclareLive{adapter, versions},
         [=, this](Revision at) {
-          Place.Book.declared(Place.now(), adapter, versions, at);
+          Sim.RequestLedger.recordAccepted(Sim.now(), adapter, versions, at);
         },
-        [=, this] { Place.Book.notDeclared(adapter, versions); });
+        [=, this] { Sim.RequestLedger.recordDeclined(adapter, versions); });
   }
 
   void adapter(const Line &line) {
@@ -253,7 +254,7 @@
     const std::string source = line.named("source", "store://" + name.str());
     propose(line, "", CreateAdapter{name, "base"}, [=, this](Revision) {
       propose(line, "", CreateVersion{name, 1, source},
-              [=, this](Revision) { declare(line, "", name, {1}); });
+              [=, this](Revision) { proposeLive(line, "", name, {1}); });
     });
   }
   void version(const Line &line) {
@@ -266,7 +267,8 @@
     std::vector<VersionNumber> versions;
     for (const std::string &it : split(line.word(1), ','))
       versions.push_back(static_cast<VersionNumber>(std::stoul(it)));
-    declare(line, line.named("id", ""), AdapterName(line.word(0)), versions);
+    proposeLive(line, line.named("id", ""), AdapterName(line.word(0)),
+                versions);
   }
   void drain(const Line &line) {
     propose(line, line.named("id", ""),
@@ -288,30 +290,30 @@
     if (!entry)
       return;
     const std::uint32_t seconds = line.number("timeout", 30);
-    Place.request(*entry, {.Id = RequestId(line.word(0)),
-                           .Caller = CallerName("club"),
-                           .Kind = KindName(line.named("kind", "usual")),
-                           .Adapter = AdapterName(line.word(1)),
-                           .Version = line.number("version", 0),
-                           .Prompt = "prompt of " + line.word(0),
-                           .MaxTokens = line.number("tokens", 20),
-                           .Timeout = std::chrono::seconds(seconds)});
+    Sim.request(*entry, {.Id = RequestId(line.word(0)),
+                         .Caller = CallerName("club"),
+                         .Kind = KindName(line.named("kind", "usual")),
+                         .Adapter = AdapterName(line.word(1)),
+                         .Version = line.number("version", 0),
+                         .Prompt = "prompt of " + line.word(0),
+                         .MaxTokens = line.number("tokens", 20),
+                         .Timeout = std::chrono::seconds(seconds)});
   }
   void order(const Line &line) {
     WorldProcess *entry = find(line, line.named("via", ""));
     if (!entry)
       return;
     const std::uint32_t seconds = line.number("timeout", 10);
-    Place.request(*entry,
-                  {.Id = RequestId(line.word(0)),
-                   .Caller = CallerName("club"),
-                   .Kind = KindName("usual"),
-                   .Service = ServiceName("stock"),
-                   .Method = "reserve",
-                   .Payload = line.named("payload", "one of " + line.word(0)),
-                   .Idempotent = false,
-                   .IssuedAtMilliseconds = World({}).milliseconds(),
-                   .Timeout = std::chrono::seconds(seconds)});
+    Sim.request(*entry,
+                {.Id = RequestId(line.word(0)),
+                 .Caller = CallerName("club"),
+                 .Kind = KindName("usual"),
+                 .Service = ServiceName("stock"),
+                 .Method = "reserve",
+                 .Payload = line.named("payload", "one of " + line.word(0)),
+                 .Idempotent = false,
+                 .IssuedAtMilliseconds = World({}).milliseconds(),
+                 .Timeout = std::chrono::seconds(seconds)});
   }
 
   //===--------------------------------------------------------------------===//
@@ -321,33 +323,33 @@
   /// \returns the record of the last submission of request \p id, or null.
   const RequestRecord *lastSend(const std::string &id) const {
     const RequestRecord *last = nullptr;
-    for (const auto &[key, it] : Place.Book.requests())
+    for (const auto &[key, it] : Sim.RequestLedger.requests())
       if (it.Request.Id.str() == id)
         last = &it;
     return last;
   }
 
-  void expectEnding(const Line &line) {
+  void expectOutcome(const Line &line) {
     const RequestRecord *record = lastSend(line.word(1));
     if (!record)
-      return fault(line, "no such request was sent: " + line.word(1));
+      return addError(line, "no such request was sent: " + line.word(1));
     const std::string got =
         record->Ended ? nameOf(record->Answer.Kind) : "nothing";
     for (const std::string &it : split(line.word(0), '|'))
       if (it == got || (it == "ended" && record->Ended))
         return;
-    fault(line, line.word(1) + " got " + got + " (" +
-                    refusalReasonName(record->Answer.Reason) + ", " +
-                    record->Answer.Payload + "), expected " + line.word(0));
+    addError(line, line.word(1) + " got " + got + " (" +
+                       refusalReasonName(record->Answer.Reason) + ", " +
+                       record->Answer.Payload + "), expected " + line.word(0));
   }
 
   bool inForce() const {
     Revision newest = 0;
-    for (WorldProcess *it : const_cast<World &>(Place).processes())
+    for (WorldProcess *it : const_cast<World &>(Sim).processes())
       if (it->Alive && it->Replica)
         newest =
             std::max(newest, it->Replica->state().configuration().revision());
-    for (WorldProcess *it : const_cast<World &>(Place).processes())
+    for (WorldProcess *it : const_cast<World &>(Sim).processes())
       if (it->Alive && it->Entry &&
           it->Entry->configuration().revision() != newest)
         return false;
@@ -358,15 +360,15 @@
     const std::string what = line.word(0);
     if (what == "leader") {
       if (!leader())
-        fault(line, "there is no leader");
+        addError(line, "there is no leader");
     } else if (what == "ready" || what == "not-ready") {
       const WorldProcess *it = find(line, line.word(1));
-      const bool ready = it && it->Entry && it->Entry->ready(Place.now());
+      const bool ready = it && it->Entry && it->Entry->ready(Sim.now());
       if (ready != (what == "ready"))
-        fault(line, line.word(1) + (ready ? " is ready" : " isn't ready"));
+        addError(line, line.word(1) + (ready ? " is ready" : " isn't ready"));
     } else if (what == "in-force") {
       if (!inForce())
-        fault(line, "an entry lacks the newest revision");
+        addError(line, "an entry lacks the newest revision");
     } else if (what == "voters") {
       const WorldProcess *it = leader();
       const auto n =
@@ -374,29 +376,31 @@
               : std::ranges::count(it->Replica->log().group().Replicas, false,
                                    &ReplicaDescriptor::Learner);
       if (std::to_string(n) != line.word(1))
-        fault(line, "there are " + std::to_string(n) + " voters");
+        addError(line, "there are " + std::to_string(n) + " voters");
     } else if (what == "runs") {
-      const auto n = Place.Book.runsOf(RequestId(line.word(1)));
+      const auto n = Sim.RequestLedger.runCount(RequestId(line.word(1)));
       if (std::to_string(n) != line.word(2))
-        fault(line, line.word(1) + " ran " + std::to_string(n) + " times");
+        addError(line, line.word(1) + " ran " + std::to_string(n) + " times");
     } else if (what == "from") {
       const RequestRecord *it = lastSend(line.word(1));
       if (!it || it->Answer.Host.str() != line.word(2))
-        fault(line, "answered by " + (it ? it->Answer.Host.str() : "nobody"));
+        addError(line,
+                 "answered by " + (it ? it->Answer.Host.str() : "nobody"));
     } else if (what == "one-accepted") {
       const auto accepted =
-          std::ranges::count_if(line.Plain, [&](const std::string &it) {
+          std::ranges::count_if(line.Positional, [&](const std::string &it) {
             return Commands.contains(it) && Commands[it] == "accepted";
           });
       if (accepted != 1)
-        fault(line, std::to_string(accepted) + " were accepted");
+        addError(line, std::to_string(accepted) + " were accepted");
     } else if (what == "command") {
       const std::string got = Commands[line.word(1)];
       const Words allowed = split(line.word(2), '|');
       if (std::ranges::find(allowed, got) == allowed.end())
-        fault(line, line.word(1) + " is " + got + ", expected " + line.word(2));
+        addError(line,
+                 line.word(1) + " is " + got + ", expected " + line.word(2));
     } else {
-      expectEnding(line);
+      expectOutcome(line);
     }
   }
 
@@ -407,29 +411,30 @@
   /// Checks the invariants of the final state.
   void checkEnd() {
     if (const WorldProcess *it = leader())
-      Place.Book.checkState(Place.now(), it->Replica->state().configuration());
+      Sim.RequestLedger.checkState(Sim.now(),
+                                   it->Replica->state().configuration());
   }
 
-  void tellStory() {
-    for (const auto &[key, it] : Place.Book.requests())
-      Result.Story += it.Request.Id.str() + ": " +
-                      (it.Ended ? nameOf(it.Answer.Kind) : "nothing") + " " +
-                      refusalReasonName(it.Answer.Reason) + " after " +
-                      std::to_string(toSeconds(it.EndedAt - it.SentAt)) +
-                      " s, " + std::to_string(it.Answer.Attempts) +
-                      " attempts, by " + it.Answer.Host.str() + "\n";
+  void logRequests() {
+    for (const auto &[key, it] : Sim.RequestLedger.requests())
+      Result.RunLog += it.Request.Id.str() + ": " +
+                       (it.Ended ? nameOf(it.Answer.Kind) : "nothing") + " " +
+                       refusalReasonName(it.Answer.Reason) + " after " +
+                       std::to_string(toSeconds(it.EndedAt - it.SentAt)) +
+                       " s, " + std::to_string(it.Answer.Attempts) +
+                       " attempts, by " + it.Answer.Host.str() + "\n";
   }
 
   /// Logs the final state of each process.
-  void tellProcesses() {
-    for (WorldProcess *it : Place.processes()) {
+  void logProcesses() {
+    for (WorldProcess *it : Sim.processes()) {
       std::string text = it->Spec.Host.str() + ":";
       if (!it->Alive)
         text += " dead";
       if (it->Frozen)
         text += " frozen";
       if (it->Alive && it->Replica) {
-        const ReplicaStatus status = it->Replica->status(Place.now());
+        const ReplicaStatus status = it->Replica->status(Sim.now());
         text += " replica " + std::to_string(status.Identity) + " term " +
                 std::to_string(status.Term) + " commit " +
                 std::to_string(status.CommitIndex) + " last " +
@@ -443,15 +448,15 @@
       if (it->Alive && it->Entry)
         text += " entry revision " +
                 std::to_string(it->Entry->configuration().revision()) +
-                (it->Entry->ready(Place.now()) ? " ready" : " not ready");
-      Result.Story += text + "\n";
+                (it->Entry->ready(Sim.now()) ? " ready" : " not ready");
+      Result.RunLog += text + "\n";
     }
   }
 
   void perform(const Line &line) {
     const auto it = actions().find(line.Action);
     if (it == actions().end())
-      return fault(line, "unknown action");
+      return addError(line, "unknown action");
     (this->*it->second)(line);
   }
 };
@@ -502,32 +507,32 @@
   Duration at = Duration::zero();
   std::size_t number = 0;
   for (std::string raw; std::getline(lines, raw);) {
-    const std::string place = name + ":" + std::to_string(++number);
+    const std::string location = name + ":" + std::to_string(++number);
     const Words words = split(raw.substr(0, raw.find('#')), ' ');
     if (words.empty())
       continue;
     if (words.size() < 2) {
-      State->Result.Faults.add(place, "expected a time and an action");
+      State->Result.Errors.add(location, "expected a time and an action");
       continue;
     }
     const bool relative = words[0][0] == '+';
     const Duration time = fromSeconds(std::stod(words[0]));
     at = relative ? at + time : time;
-    Line line = parseLine(place, words);
+    Line line = parseLine(location, words);
     if (line.Action.ends_with("replica"))
       State->Replicas.push_back(line.word(0));
     steps.emplace_back(at, std::move(line));
   }
   std::ranges::stable_sort(steps, {}, [](const auto &it) { return it.first; });
-  const TimePoint begin = State->Place.now();
+  const TimePoint begin = State->Sim.now();
   for (const auto &[time, line] : steps) {
-    State->Place.runUntil(begin + time);
+    State->Sim.runUntil(begin + time);
     State->perform(line);
   }
   State->checkEnd();
-  State->tellStory();
-  State->tellProcesses();
-  State->Result.Violations = State->Place.Book.violations();
+  State->logRequests();
+  State->logProcesses();
+  State->Result.Violations = State->Sim.RequestLedger.violations();
   return State->Result;
 }
 
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.h
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.h
@@ -9,13 +9,13 @@
 /// \ingroup Testkit
 struct ScenarioResult {
   /// Errors in the scenario's text, and expectations that weren't met.
-  Findings Faults;
+  Findings Errors;
   /// Violations of the ledger's invariants.
   std::vector<std::string> Violations;
   /// Log of the run: a line with the outcome of each request sent, then a line
   /// with the final state of each process.
-  std::string Story;
-  bool good() const { return Faults.empty() && Violations.empty(); }
+  std::string RunLog;
+  bool passed() const { return Errors.empty() && Violations.empty(); }
 };
 
 /// \class Scenario
--- a/packages/testkit/pimentofront/src/Testkit/Trace.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Trace.cpp
@@ -10,8 +10,8 @@
 
 using Json = nlohmann::json;
 
-double exponential(Random &chance, double mean) {
-  return -mean * std::log(1 - chance.uniform());
+double exponential(Random &rng, double mean) {
+  return -mean * std::log(1 - rng.uniform());
 }
 
 /// Draws ranks with probability proportional to rank^-skew.
@@ -20,20 +20,21 @@
   ZipfSampler(std::uint32_t n, double skew) {
     double sum = 0;
     for (std::uint32_t i = 1; i <= n; ++i)
-      Cumulated.push_back(sum += std::pow(i, -skew));
+      CumulativeWeights.push_back(sum += std::pow(i, -skew));
   }
-  std::uint32_t draw(Random &chance) const {
-    const double at = chance.uniform() * Cumulated.back();
-    return static_cast<std::uint32_t>(std::ranges::lower_bound(Cumulated, at) -
-                                      Cumulated.begin());
+  std::uint32_t draw(Random &rng) const {
+    const double at = rng.uniform() * CumulativeWeights.back();
+    return static_cast<std::uint32_t>(
+        std::ranges::lower_bound(CumulativeWeights, at) -
+        CumulativeWeights.begin());
   }
 
 private:
-  std::vector<double> Cumulated;
+  std::vector<double> CumulativeWeights;
 };
 
-const KindShare &drawKind(const Deployment &deployment, Random &chance) {
-  double at = chance.uniform();
+const KindShare &drawKind(const Deployment &deployment, Random &rng) {
+  double at = rng.uniform();
   for (const KindShare &it : deployment.Kinds) {
     at -= it.Share;
     if (at < 0)
@@ -42,8 +43,8 @@
   return deployment.Kinds.back();
 }
 
-KindShare kindOf(const char *name, std::uint32_t weight, int windowSeconds,
-                 double share, std::uint32_t tokens) {
+KindShare makeKindShare(const char *name, std::uint32_t weight,
+                        int windowSeconds, double share, std::uint32_t tokens) {
   return {.Kind = {.Name = KindName(name),
                    .Weight = weight,
                    .Window = std::chrono::seconds(windowSeconds)},
@@ -59,8 +60,8 @@
           .Workers = 18,
           .LoadsPerSecond = 4,
           .Engine = {.Slots = 6},
-          .Kinds = {kindOf("part-lookup", 4, 8, 0.6, 40),
-                    kindOf("build-notes", 1, 30, 0.4, 150)}};
+          .Kinds = {makeKindShare("part-lookup", 4, 8, 0.6, 40),
+                    makeKindShare("build-notes", 1, 30, 0.4, 150)}};
 }
 
 Deployment ammann() {
@@ -70,9 +71,9 @@
           .LoadsPerSecond = 3,
           .BetweenZones = std::chrono::microseconds(1200),
           .Engine = {.Slots = 8},
-          .Kinds = {kindOf("crew-briefing", 8, 6, 0.3, 40),
-                    kindOf("work-order", 3, 15, 0.5, 100),
-                    kindOf("hazard-tree", 1, 30, 0.2, 200)}};
+          .Kinds = {makeKindShare("crew-briefing", 8, 6, 0.3, 40),
+                    makeKindShare("work-order", 3, 15, 0.5, 100),
+                    makeKindShare("hazard-tree", 1, 30, 0.2, 200)}};
 }
 
 //===----------------------------------------------------------------------===//
@@ -82,8 +83,8 @@
 std::string Trace::toLines() const {
   std::string text = Json({{"deployment", Deployment},
                            {"outcomes",
-                            {{"answered_in_window", Outcomes.AnsweredInWindow},
-                             {"stall_p95_seconds", Outcomes.StallP95Seconds}}}})
+                            {{"answered_in_window", Expected.AnsweredInWindow},
+                             {"stall_p95_seconds", Expected.StallP95Seconds}}}})
                          .dump() +
                      "\n";
   for (const TraceRequest &it : Requests)
@@ -109,7 +110,7 @@
       if (number == 1) {
         trace.Deployment = json.at("deployment");
         const Json &outcomes = json.at("outcomes");
-        trace.Outcomes = {outcomes.at("answered_in_window"),
+        trace.Expected = {outcomes.at("answered_in_window"),
                           outcomes.at("stall_p95_seconds")};
         continue;
       }
@@ -129,34 +130,34 @@
 //===----------------------------------------------------------------------===//
 
 Trace generateTrace(const Deployment &deployment, const TraceOptions &options) {
-  Random chance(options.Seed);
+  Random rng(options.Seed);
   const ZipfSampler popularity(deployment.Adapters, deployment.Skew);
   Trace trace{.Deployment = deployment.Name};
   const double sessions =
       options.RequestsPerSecond / deployment.SessionRequests;
   const double length = toSeconds(options.Length);
   double at = 0;
-  while ((at += exponential(chance, 1 / sessions)) < length) {
-    std::uint32_t rank = popularity.draw(chance);
+  while ((at += exponential(rng, 1 / sessions)) < length) {
+    std::uint32_t rank = popularity.draw(rng);
     const bool shifted = options.ShiftAt > Duration::zero() &&
                          fromSeconds(at) >= options.ShiftAt;
     if (shifted)
       rank = (rank + deployment.Adapters / 2) % deployment.Adapters;
-    const KindShare &kind = drawKind(deployment, chance);
+    const KindShare &kind = drawKind(deployment, rng);
     double time = at;
     // The number of requests has a geometric distribution, with a minimum of 1.
     do {
-      const double tokens = kind.MeanTokens * (0.5 + chance.uniform());
+      const double tokens = kind.MeanTokens * (0.5 + rng.uniform());
       trace.Requests.push_back(
           {.At = fromSeconds(time),
            .Kind = kind.Kind.Name,
            .Adapter = AdapterName("adapter-" + std::to_string(rank)),
            .Tokens = static_cast<std::uint32_t>(tokens),
-           .Prompt = "context-" + std::to_string(chance.next() % 4),
+           .Prompt = "context-" + std::to_string(rng.next() % 4),
            .Entry =
-               static_cast<std::uint32_t>(chance.next() % deployment.Entries)});
-      time += exponential(chance, toSeconds(deployment.SessionPause));
-    } while (chance.uniform() > 1 / deployment.SessionRequests);
+               static_cast<std::uint32_t>(rng.next() % deployment.Entries)});
+      time += exponential(rng, toSeconds(deployment.SessionPause));
+    } while (rng.uniform() > 1 / deployment.SessionRequests);
   }
   std::ranges::sort(trace.Requests);
   std::erase_if(trace.Requests, [&](const TraceRequest &it) {
@@ -165,13 +166,13 @@
   return trace;
 }
 
-std::uint64_t fewestLoads(const Trace &trace, std::size_t slots) {
+std::uint64_t minLoads(const Trace &trace, std::size_t slots) {
   const std::size_t n = trace.Requests.size();
   constexpr std::size_t Never = ~std::size_t(0);
   std::vector<std::size_t> next(n, Never);
-  std::map<AdapterName, std::size_t> later;
+  std::map<AdapterName, std::size_t> nextUse;
   for (std::size_t i = n; i-- > 0;) {
-    const auto [it, isNew] = later.try_emplace(trace.Requests[i].Adapter, i);
+    const auto [it, isNew] = nextUse.try_emplace(trace.Requests[i].Adapter, i);
     next[i] = isNew ? Never : it->second;
     it->second = i;
   }
@@ -206,7 +207,7 @@
       {.RequestsPerSecond = 40, .Length = std::chrono::minutes(10), .Seed = 7});
   const std::size_t slots =
       std::size_t(deployment.Workers) * deployment.Engine.Slots;
-  const double loads = static_cast<double>(fewestLoads(trace, slots) - slots);
+  const double loads = static_cast<double>(minLoads(trace, slots) - slots);
   const double byLoads = deployment.LoadsPerSecond *
                          static_cast<double>(trace.Requests.size()) / loads;
   double tokens = 0;
--- a/packages/testkit/pimentofront/src/Testkit/Trace.h
+++ b/packages/testkit/pimentofront/src/Testkit/Trace.h
@@ -51,10 +51,10 @@
   friend auto operator<=>(const TraceRequest &, const TraceRequest &) = default;
 };
 
-/// \class StatedOutcomes
+/// \class ExpectedResults
 /// \ingroup Testkit
 /// \brief Expected results of a replay of the trace.
-struct StatedOutcomes {
+struct ExpectedResults {
   /// Minimum share of the requests that are answered within their window.
   double AnsweredInWindow = 0;
   /// Maximum of the 95th percentile of load stalls.
@@ -66,7 +66,7 @@
 /// \brief Requests in order of arrival, and the expected results.
 struct Trace {
   std::string Deployment;
-  StatedOutcomes Outcomes;
+  ExpectedResults Expected;
   std::vector<TraceRequest> Requests;
 
   /// \returns the trace as JSON lines: a header line, then one line for each
@@ -93,7 +93,7 @@
 /// \returns the number of loads of the optimal offline schedule (Belady, 1966),
 /// which knows the trace in advance and uses all slots as one cache. No policy
 /// needs fewer.
-std::uint64_t fewestLoads(const Trace &trace, std::size_t slots);
+std::uint64_t minLoads(const Trace &trace, std::size_t slots);
 
 /// \returns the rate, in requests a second, that saturates the fake backend:
 /// the weight store with the minimum number of loads, or the engines with full
--- a/packages/testkit/pimentofront/src/Testkit/World.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/World.cpp
@@ -9,8 +9,9 @@
 //===----------------------------------------------------------------------===//
 
 World::World(const WorldOptions &options)
-    : Store(*this, options.Store), Service(*this, Book, options.ServiceDelay),
-      Chance(options.Seed), Options(options) {}
+    : Store(*this, options.Store),
+      Service(*this, RequestLedger, options.ServiceDelay), Rng(options.Seed),
+      Options(options) {}
 
 World::~World() = default;
 
@@ -44,7 +45,7 @@
   slot = std::make_unique<WorldProcess>(*this, spec);
   if (spec.IsAgent && !spec.Agent.Agent.BaseModel.empty())
     slot->Engine =
-        std::make_unique<FakeEngine>(*this, spec.Engine, Store, Book);
+        std::make_unique<FakeEngine>(*this, spec.Engine, Store, RequestLedger);
   return *slot;
 }
 
@@ -71,7 +72,7 @@
     return;
   process.Alive = true;
   process.Frozen = false;
-  process.Incarnation = Chance.next() | 1;
+  process.Incarnation = Rng.next() | 1;
   const ProcessSpec &spec = process.Spec;
   if (spec.IsReplica) {
     if (!process.Disk)
@@ -86,7 +87,7 @@
     options.Agent.Incarnation = process.Incarnation;
     process.Eviction = spec.MakeEviction();
     process.Gate = spec.MakeGate();
-    process.KnownEngine = 0;
+    process.KnownEngineStart = 0;
     process.Agent = std::make_unique<AgentNode>(
         Now, options, *process.Eviction, *process.Gate, process, process);
   }
@@ -111,16 +112,17 @@
         {.OnTokens =
              [=](const AttemptId &attempt, std::uint32_t n, std::string text) {
                at([=](WorldProcess &it) {
-                 it.Agent->controller().onTokens(it.In.now(), attempt, n, text);
-                 it.Agent->flush(it.In.now());
+                 it.Agent->controller().onTokens(it.Owner.now(), attempt, n,
+                                                 text);
+                 it.Agent->flush(it.Owner.now());
                });
              },
          .OnEnd =
              [=](const AttemptId &attempt) {
                at([=](WorldProcess &it) {
                  it.Agent->controller().onWorkEnded(
-                     it.In.now(), attempt, AttemptEnding::Answered, "");
-                 it.Agent->flush(it.In.now());
+                     it.Owner.now(), attempt, AttemptEnding::Answered, "");
+                 it.Agent->flush(it.Owner.now());
                });
              }});
   }
@@ -132,7 +134,7 @@
     return;
   process.Alive = false;
   process.Frozen = false;
-  process.Held.clear();
+  process.PendingEvents.clear();
   // Its callers see the connection close and can't know whether their requests
   // were run.
   process.Waiting.clear();
@@ -149,20 +151,20 @@
   process.Frozen = false;
   // After a pause, pending messages and expired timers may run in either order.
   // Here the messages run first.
-  const auto held = std::move(process.Held);
-  process.Held.clear();
-  for (const auto &it : held)
+  const auto pending = std::move(process.PendingEvents);
+  process.PendingEvents.clear();
+  for (const auto &it : pending)
     it();
 }
 
-void World::killFor(WorldProcess &process, Duration away) {
+void World::killFor(WorldProcess &process, Duration duration) {
   kill(process);
-  after(away, [this, &process] { start(process); });
+  after(duration, [this, &process] { start(process); });
 }
 
-void World::freezeFor(WorldProcess &process, Duration away) {
+void World::freezeFor(WorldProcess &process, Duration duration) {
   freeze(process);
-  after(away, [this, &process] {
+  after(duration, [this, &process] {
     if (process.Alive && process.Frozen)
       wake(process);
   });
@@ -179,7 +181,7 @@
   if (!process.Alive || process.Incarnation != incarnation)
     return;
   if (process.Frozen) {
-    process.Held.push_back([this, host, incarnation, action] {
+    process.PendingEvents.push_back([this, host, incarnation, action] {
       atProcess(host, incarnation, action);
     });
     return;
@@ -190,16 +192,17 @@
 void World::probeEngine(WorldProcess &process) {
   FakeEngine &engine = *process.Engine;
   AgentController &controller = process.Agent->controller();
-  const std::uint64_t sign = engine.down() ? 0 : engine.startedAt();
-  if (process.KnownEngine != 0 && sign != process.KnownEngine) {
+  const std::uint64_t currentStart = engine.down() ? 0 : engine.startedAt();
+  if (process.KnownEngineStart != 0 &&
+      currentStart != process.KnownEngineStart) {
     controller.onEngineLost(Now);
-    process.KnownEngine = 0;
+    process.KnownEngineStart = 0;
   }
-  if (sign == 0)
+  if (currentStart == 0)
     return;
   if (!controller.board().EngineReady)
     controller.onEngineFound(Now, engine.resident(), engine.idle());
-  process.KnownEngine = sign;
+  process.KnownEngineStart = currentStart;
   process.Agent->flush(Now);
 }
 
@@ -212,8 +215,8 @@
     return;
   if (process.Replica) {
     process.Replica->tick(Now);
-    Book.sawRevision(host, incarnation,
-                     process.Replica->state().configuration().revision());
+    RequestLedger.recordRevision(
+        host, incarnation, process.Replica->state().configuration().revision());
   }
   if (process.Agent) {
     if (process.Engine)
@@ -222,8 +225,8 @@
   }
   if (process.Entry) {
     process.Entry->tick(Now);
-    Book.sawRevision(HostName(host.str() + "/entry"), incarnation,
-                     process.Entry->configuration().revision());
+    RequestLedger.recordRevision(HostName(host.str() + "/entry"), incarnation,
+                                 process.Entry->configuration().revision());
   }
   if (process.Forward)
     process.Forward->tick(Now);
@@ -236,12 +239,12 @@
 
 RequestKey World::request(WorldProcess &entry, CallerRequest request) {
   request.Key = ++LastKey;
-  Book.sent(Now, request.Key, request);
+  RequestLedger.recordSubmitted(Now, request.Key, request);
   if (!entry.Alive)
     return request.Key; // Connection refused: the caller knows it wasn't run.
   entry.Waiting.insert(request.Key);
   atProcess(entry.Spec.Host, entry.Incarnation, [request](WorldProcess &it) {
-    it.Entry->request(it.In.now(), request);
+    it.Entry->request(it.Owner.now(), request);
   });
   return request.Key;
 }
@@ -251,7 +254,7 @@
   if (!entry.Alive)
     return done(std::nullopt);
   atProcess(entry.Spec.Host, entry.Incarnation, [=](WorldProcess &it) {
-    it.Entry->command(it.In.now(), command, done);
+    it.Entry->command(it.Owner.now(), command, done);
   });
 }
 
--- a/packages/testkit/pimentofront/src/Testkit/World.h
+++ b/packages/testkit/pimentofront/src/Testkit/World.h
@@ -69,7 +69,7 @@
   void onFinal(RequestKey key, const KindName &kind,
                const FinalAnswer &answer) override;
 
-  World &In;
+  World &Owner;
   ProcessSpec Spec;
   bool Alive = false;
   bool Frozen = false;
@@ -84,9 +84,9 @@
   std::unique_ptr<ReplicaNode> Replica;
   std::unique_ptr<ForwardNode> Forward;
   /// Events that arrived while the process was frozen, in order.
-  std::vector<std::function<void()>> Held;
+  std::vector<std::function<void()>> PendingEvents;
   /// FakeEngine::startedAt() as the agent last saw it; 0 if none is known.
-  std::uint64_t KnownEngine = 0;
+  std::uint64_t KnownEngineStart = 0;
   /// Requests whose callers are waiting for an answer.
   std::set<RequestKey> Waiting;
 };
@@ -107,7 +107,7 @@
 /// \ingroup Testkit
 /// \brief The simulation: processes, the links between them, and the virtual
 /// clock.
-class World : public Schedule, public WallClock {
+class World : public EventScheduler, public WallClock {
 public:
   explicit World(const WorldOptions &options);
   ~World() override;
@@ -126,10 +126,11 @@
   void kill(WorldProcess &process);
   void freeze(WorldProcess &process) { process.Frozen = true; }
   void wake(WorldProcess &process);
-  /// Kills a process, and starts it again after \p away.
-  void killFor(WorldProcess &process, Duration away);
-  /// Freezes a process, and wakes it after \p away if it is still frozen then.
-  void freezeFor(WorldProcess &process, Duration away);
+  /// Kills a process, and starts it again after \p duration.
+  void killFor(WorldProcess &process, Duration duration);
+  /// Freezes a process, and wakes it after \p duration if it is still frozen
+  /// then.
+  void freezeFor(WorldProcess &process, Duration duration);
   void loseDisk(WorldProcess &process);
 
   /// Stops delivery from \p from to \p to without closing links. As with TCP
@@ -151,10 +152,10 @@
   void command(WorldProcess &entry, const Command &command,
                CommandCallback done);
 
-  Ledger Book;
+  Ledger RequestLedger;
   FakeWeightStore Store;
   FakeService Service;
-  Random Chance;
+  Random Rng;
 
 private:
   friend class WorldProcess;
@@ -167,7 +168,7 @@
     }
   };
   /// One end of a link.
-  struct End {
+  struct LinkEnd {
     HostName Host;
     std::uint64_t Incarnation = 0;
     HostName PeerHost;
@@ -187,11 +188,11 @@
   void connect(LinkId ours);
   void sendOn(LinkId link, const Message &message);
   void sendUnsent(LinkId link);
-  void tellOpen(LinkId link, const Hello &hello);
+  void notifyOpen(LinkId link, const Hello &hello);
   void closeLink(LinkId link);
   void dropLinksOf(const HostName &host);
   /// Notifies the owner of \p link that it was closed.
-  void tellClosed(LinkId link);
+  void notifyClosed(LinkId link);
   void deliver(LinkId to, const Message &message);
   bool isCut(const HostName &from, const HostName &to) const;
   Duration delayBetween(const HostName &from, const HostName &to) const;
@@ -204,10 +205,10 @@
   std::uint64_t Sequence = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> Events;
   std::map<HostName, std::unique_ptr<WorldProcess>> Processes;
-  std::map<LinkId, End> Ends;
+  std::map<LinkId, LinkEnd> LinkEnds;
   LinkId LastLink = 0;
   std::set<std::pair<HostName, HostName>> Cuts;
-  std::map<std::pair<HostName, HostName>, Duration> Slow;
+  std::map<std::pair<HostName, HostName>, Duration> LinkDelays;
   RequestKey LastKey = 0;
   ReplicaId LastDisk = 1000;
 };
--- a/packages/testkit/pimentofront/src/Testkit/WorldLinks.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/WorldLinks.cpp
@@ -17,8 +17,8 @@
 }
 
 Duration World::delayBetween(const HostName &from, const HostName &to) const {
-  const auto slow = Slow.find({from, to});
-  if (slow != Slow.end())
+  const auto slow = LinkDelays.find({from, to});
+  if (slow != LinkDelays.end())
     return slow->second;
   const bool same =
       Processes.at(from)->Spec.Zone == Processes.at(to)->Spec.Zone;
@@ -29,34 +29,34 @@
                        LinkPurpose purpose) {
   // In the simulation a host's address is its name.
   const LinkId id = ++LastLink;
-  Ends[id] = {.Host = from.Spec.Host,
-              .Incarnation = from.Incarnation,
-              .PeerHost = HostName(address),
-              .Purpose = purpose};
+  LinkEnds[id] = {.Host = from.Spec.Host,
+                  .Incarnation = from.Incarnation,
+                  .PeerHost = HostName(address),
+                  .Purpose = purpose};
   connect(id);
   return id;
 }
 
 void World::connect(LinkId ours) {
-  const End end = Ends.at(ours);
+  const LinkEnd end = LinkEnds.at(ours);
   const auto peer = Processes.find(end.PeerHost);
   const bool reachable = peer != Processes.end() &&
                          !isCut(end.Host, end.PeerHost) &&
                          !isCut(end.PeerHost, end.Host);
   if (!reachable)
-    return after(ConnectTimeout, [=, this] { tellClosed(ours); });
+    return after(ConnectTimeout, [=, this] { notifyClosed(ours); });
   const Duration delay = delayBetween(end.Host, end.PeerHost);
   if (!peer->second->Alive)
-    return after(2 * delay, [=, this] { tellClosed(ours); });
+    return after(2 * delay, [=, this] { notifyClosed(ours); });
   const LinkId theirs = ++LastLink;
-  Ends[theirs] = {.Host = end.PeerHost,
-                  .Incarnation = peer->second->Incarnation,
-                  .PeerHost = end.Host,
-                  .Peer = ours,
-                  .Known = true,
-                  .LastArrival = Now + delay};
-  Ends[ours].Peer = theirs;
-  Ends[ours].Known = true;
+  LinkEnds[theirs] = {.Host = end.PeerHost,
+                      .Incarnation = peer->second->Incarnation,
+                      .PeerHost = end.Host,
+                      .Peer = ours,
+                      .Known = true,
+                      .LastArrival = Now + delay};
+  LinkEnds[ours].Peer = theirs;
+  LinkEnds[ours].Known = true;
   const auto hello = [this](const HostName &host, bool accepted,
                             LinkPurpose purpose) {
     const WorldProcess &it = *Processes.at(host);
@@ -66,60 +66,61 @@
                  .Replica = it.Disk && named ? it.Disk->Stored.Id : 0,
                  .Accepted = accepted};
   };
-  Ends[ours].LastArrival = Now + 2 * delay;
+  LinkEnds[ours].LastArrival = Now + 2 * delay;
   after(delay, [=, this] {
-    const auto it = Ends.find(theirs);
-    if (it == Ends.end())
+    const auto it = LinkEnds.find(theirs);
+    if (it == LinkEnds.end())
       return;
-    tellOpen(theirs, hello(end.Host, false, end.Purpose));
+    notifyOpen(theirs, hello(end.Host, false, end.Purpose));
     // The kernel accepts connections for a frozen process, but the process
     // doesn't send its greeting.
     atProcess(end.PeerHost, it->second.Incarnation, [=](WorldProcess &p) {
-      World &world = p.In;
+      World &world = p.Owner;
       const Hello greeting = hello(end.PeerHost, true, end.Purpose);
-      world.after(delay, [=, &world] { world.tellOpen(ours, greeting); });
+      world.after(delay, [=, &world] { world.notifyOpen(ours, greeting); });
     });
   });
 }
 
-void World::tellOpen(LinkId link, const Hello &hello) {
-  const auto it = Ends.find(link);
-  if (it == Ends.end())
+void World::notifyOpen(LinkId link, const Hello &hello) {
+  const auto it = LinkEnds.find(link);
+  if (it == LinkEnds.end())
     return;
   atProcess(it->second.Host, it->second.Incarnation, [=](WorldProcess &p) {
-    const auto end = p.In.Ends.find(link);
-    if (end == p.In.Ends.end())
+    const auto end = p.Owner.LinkEnds.find(link);
+    if (end == p.Owner.LinkEnds.end())
       return;
     end->second.Open = true;
-    p.In.sendUnsent(link);
+    p.Owner.sendUnsent(link);
     for (Node *node : {static_cast<Node *>(p.Replica.get()),
                        static_cast<Node *>(p.Agent.get()),
                        static_cast<Node *>(p.Entry.get()),
                        static_cast<Node *>(p.Forward.get())})
       if (node)
-        node->onLinkOpen(p.In.now(), link, hello);
+        node->onLinkOpen(p.Owner.now(), link, hello);
   });
 }
 
 void World::sendUnsent(LinkId link) {
-  const std::vector<Message> unsent = std::exchange(Ends.at(link).Unsent, {});
+  const std::vector<Message> unsent =
+      std::exchange(LinkEnds.at(link).Unsent, {});
   for (const Message &it : unsent)
     sendOn(link, it);
 }
 
 void World::sendOn(LinkId link, const Message &message) {
-  const auto it = Ends.find(link);
-  if (it == Ends.end())
+  const auto it = LinkEnds.find(link);
+  if (it == LinkEnds.end())
     return;
-  End &end = it->second;
+  LinkEnd &end = it->second;
   if (!end.Open || isCut(end.Host, end.PeerHost) || !end.Unsent.empty()) {
     if (end.Unsent.empty())
       end.UnsentSince = Now;
     end.Unsent.push_back(message);
     return;
   }
-  const auto peer = Ends.find(end.Peer);
-  if (peer == Ends.end())
+  const auto peer = LinkEnds.find(end.Peer);
+  if (peer == LinkEnds.end())
     return;
   const TimePoint arrival = std::max(Now + delayBetween(end.Host, end.PeerHost),
                                      peer->second.LastArrival);
@@ -129,13 +130,13 @@
 }
 
 void World::deliver(LinkId to, const Message &message) {
-  const auto it = Ends.find(to);
-  if (it == Ends.end())
+  const auto it = LinkEnds.find(to);
+  if (it == LinkEnds.end())
     return;
   atProcess(it->second.Host, it->second.Incarnation, [=](WorldProcess &p) {
-    if (!p.In.Ends.contains(to))
+    if (!p.Owner.LinkEnds.contains(to))
       return;
-    const TimePoint now = p.In.now();
+    const TimePoint now = p.Owner.now();
     if (p.Replica) {
       p.Replica->onMessage(now, to, message);
       p.Replica->flush(now);
@@ -149,41 +150,41 @@
   });
 }
 
-void World::tellClosed(LinkId link) {
-  const auto it = Ends.find(link);
-  if (it == Ends.end())
+void World::notifyClosed(LinkId link) {
+  const auto it = LinkEnds.find(link);
+  if (it == LinkEnds.end())
     return;
-  const End end = it->second;
+  const LinkEnd end = it->second;
   atProcess(end.Host, end.Incarnation, [=](WorldProcess &p) {
-    if (p.In.Ends.erase(link) == 0)
+    if (p.Owner.LinkEnds.erase(link) == 0)
       return;
     for (Node *node : {static_cast<Node *>(p.Replica.get()),
                        static_cast<Node *>(p.Agent.get()),
                        static_cast<Node *>(p.Entry.get()),
                        static_cast<Node *>(p.Forward.get())})
       if (node)
-        node->onLinkClosed(p.In.now(), link);
+        node->onLinkClosed(p.Owner.now(), link);
   });
 }
 
 void World::closeLink(LinkId link) {
-  const auto it = Ends.find(link);
-  if (it == Ends.end())
+  const auto it = LinkEnds.find(link);
+  if (it == LinkEnds.end())
     return;
-  const End end = it->second;
-  Ends.erase(it);
+  const LinkEnd end = it->second;
+  LinkEnds.erase(it);
   if (end.Peer == 0)
     return;
   // Across a cut the peer only notices by its timeout.
   const bool cut = isCut(end.Host, end.PeerHost);
   const Duration delay =
       cut ? UserTimeout : delayBetween(end.Host, end.PeerHost);
-  after(delay, [this, peer = end.Peer] { tellClosed(peer); });
+  after(delay, [this, peer = end.Peer] { notifyClosed(peer); });
 }
 
 void World::dropLinksOf(const HostName &host) {
   std::vector<LinkId> links;
-  for (const auto &[link, end] : Ends)
+  for (const auto &[link, end] : LinkEnds)
     if (end.Host == host)
       links.push_back(link);
   for (const LinkId it : links)
@@ -191,13 +192,13 @@
 }
 
 void World::expireUnsent() {
-  std::vector<LinkId> dead;
-  for (const auto &[link, end] : Ends)
+  std::vector<LinkId> expired;
+  for (const auto &[link, end] : LinkEnds)
     if (!end.Unsent.empty() && end.UnsentSince + UserTimeout < Now)
-      dead.push_back(link);
-  for (const LinkId it : dead) {
-    Ends.at(it).Unsent.clear();
-    tellClosed(it);
+      expired.push_back(link);
+  for (const LinkId it : expired) {
+    LinkEnds.at(it).Unsent.clear();
+    notifyClosed(it);
   }
 }
 
@@ -208,16 +209,16 @@
 void World::healAll() {
   Cuts.clear();
   std::vector<LinkId> links;
-  for (const auto &[link, end] : Ends)
+  for (const auto &[link, end] : LinkEnds)
     if (!end.Unsent.empty())
       links.push_back(link);
   for (const LinkId it : links)
-    if (Ends.at(it).Open)
+    if (LinkEnds.at(it).Open)
       sendUnsent(it);
 }
 
 void World::slow(const HostName &from, const HostName &to, Duration delay) {
-  Slow[{from, to}] = delay;
+  LinkDelays[{from, to}] = delay;
 }
 
 } // namespace pimentofront::testkit
--- a/packages/testkit/src/FakeEngineMain.cpp
+++ b/packages/testkit/src/FakeEngineMain.cpp
@@ -35,7 +35,7 @@
 struct Stream {
   std::shared_ptr<HttpExchange> Exchange;
   std::string Model;
-  std::uint64_t Left = 0;
+  std::uint64_t RemainingTokens = 0;
   std::uint64_t Position = 0;
   std::unique_ptr<Timer> Next;
 };
@@ -110,7 +110,7 @@
     Stream &stream = Streams[id];
     stream.Exchange = exchange;
     stream.Model = model;
-    stream.Left = body.value("max_tokens", 16U);
+    stream.RemainingTokens = body.value("max_tokens", 16U);
     exchange->beginStream(StatusOk, {{"Content-Type", "text/event-stream"}});
     exchange->onGone([this, id] { Streams.erase(id); });
     if (Options.TokenTime == Duration::zero())
@@ -126,7 +126,7 @@
 
   void step(std::uint64_t id) {
     Stream &stream = Streams.at(id);
-    if (stream.Left == 0) {
+    if (stream.RemainingTokens == 0) {
       const auto exchange = stream.Exchange;
       auto timer =
           std::make_shared<std::unique_ptr<Timer>>(std::move(stream.Next));
@@ -135,7 +135,7 @@
       exchange->endStream();
       return;
     }
-    --stream.Left;
+    --stream.RemainingTokens;
     const std::string text =
         stream.Model + "#" + std::to_string(stream.Position++) + " ";
     stream.Exchange->sendPiece(
--- a/packages/testkit/src/ReplayMain.cpp
+++ b/packages/testkit/src/ReplayMain.cpp
@@ -16,12 +16,12 @@
 /// One run: a policy on a deployment at a load (percent of its capacity) with a
 /// fault and a seed.
 struct Cell {
-  Deployment Size;
+  Deployment Cluster;
   PolicySpec Policy;
   double Load = 0;
   ReplayFault Fault = ReplayFault::None;
   std::uint64_t Seed = 0;
-  ReplayFigures Figures;
+  ReplayResult Result;
 };
 
 std::vector<std::string> splitList(const std::string &text) {
@@ -51,11 +51,12 @@
   const Duration length = std::chrono::minutes(arguments.Minutes);
   const bool shift = cell.Fault == ReplayFault::Shift;
   const Trace trace = generateTrace(
-      cell.Size, {.RequestsPerSecond = cell.Load / 100 * capacityOf(cell.Size),
-                  .Length = length,
-                  .Seed = cell.Seed,
-                  .ShiftAt = shift ? length / 2 : Duration::zero()});
-  cell.Figures = replay(cell.Size, cell.Policy, trace, cell.Fault, cell.Seed);
+      cell.Cluster,
+      {.RequestsPerSecond = cell.Load / 100 * capacityOf(cell.Cluster),
+       .Length = length,
+       .Seed = cell.Seed,
+       .ShiftAt = shift ? length / 2 : Duration::zero()});
+  cell.Result = replay(cell.Cluster, cell.Policy, trace, cell.Fault, cell.Seed);
 }
 
 /// Runs the cells on several threads. Replays share no state.
@@ -69,14 +70,14 @@
 }
 
 /// Mean, minimum and maximum over the seeds.
-struct Spread {
-  double Least = 1e18;
-  double Most = -1e18;
+struct SeedStatistics {
+  double Min = 1e18;
+  double Max = -1e18;
   double Sum = 0;
   int Count = 0;
   void add(double value) {
-    Least = std::min(Least, value);
-    Most = std::max(Most, value);
+    Min = std::min(Min, value);
+    Max = std::max(Max, value);
     Sum += value;
     ++Count;
   }
@@ -84,38 +85,38 @@
 };
 
 void printRow(const std::vector<const Cell *> &cells) {
-  Spread stall, p95, p99, efficiency, inWindow, refused, other, loads, fewest,
-      refusal;
+  SeedStatistics stall, p95, p99, efficiency, inWindow, refused, other, loads,
+      minimumLoads, refusal;
   std::size_t violations = 0;
   for (const Cell *it : cells) {
-    const ReplayFigures &figures = it->Figures;
-    const auto sent = static_cast<double>(figures.Sent);
-    stall.add(figures.StallTotal);
-    p95.add(figures.StallP95);
-    p99.add(figures.StallP99);
-    efficiency.add(100 * figures.BatchEfficiency);
-    inWindow.add(100 * static_cast<double>(figures.InWindow) / sent);
-    refused.add(100 * static_cast<double>(figures.Refused) / sent);
-    other.add(100 * static_cast<double>(figures.Other) / sent);
-    loads.add(static_cast<double>(figures.Loads));
-    fewest.add(static_cast<double>(figures.FewestLoads));
-    refusal.add(figures.RefusalP99);
-    violations += figures.Violations.size();
+    const ReplayResult &result = it->Result;
+    const auto sent = static_cast<double>(result.Sent);
+    stall.add(result.StallTotal);
+    p95.add(result.StallP95);
+    p99.add(result.StallP99);
+    efficiency.add(100 * result.BatchEfficiency);
+    inWindow.add(100 * static_cast<double>(result.InWindow) / sent);
+    refused.add(100 * static_cast<double>(result.Refused) / sent);
+    other.add(100 * static_cast<double>(result.Other) / sent);
+    loads.add(static_cast<double>(result.Loads));
+    minimumLoads.add(static_cast<double>(result.MinLoads));
+    refusal.add(result.RefusalP99);
+    violations += result.Violations.size();
   }
   const Cell &cell = *cells.front();
   std::printf(
       "%-14s %-11s %4.0f%% %-12s %8.1f [%.1f-%.1f] %6.2f %6.2f %6.2f "
       "[%.2f-%.2f] %6.2f [%.2f-%.2f] %6.2f %5.2f %6.0f /%5.0f %6.3f %s\n",
-      cell.Policy.Name.c_str(), cell.Size.Name.c_str(), cell.Load,
-      nameOf(cell.Fault), stall.mean(), stall.Least, stall.Most, p95.mean(),
-      p99.mean(), efficiency.mean(), efficiency.Least, efficiency.Most,
-      inWindow.mean(), inWindow.Least, inWindow.Most, refused.mean(),
-      other.mean(), loads.mean(), fewest.mean(), refusal.mean(),
+      cell.Policy.Name.c_str(), cell.Cluster.Name.c_str(), cell.Load,
+      nameOf(cell.Fault), stall.mean(), stall.Min, stall.Max, p95.mean(),
+      p99.mean(), efficiency.mean(), efficiency.Min, efficiency.Max,
+      inWindow.mean(), inWindow.Min, inWindow.Max, refused.mean(), other.mean(),
+      loads.mean(), minimumLoads.mean(), refusal.mean(),
       violations ? (std::to_string(violations) + " VIOLATIONS: " +
                     [&] {
                       for (const Cell *it : cells)
-                        if (!it->Figures.Violations.empty())
-                          return it->Figures.Violations.front();
+                        if (!it->Result.Violations.empty())
+                          return it->Result.Violations.front();
                       return std::string();
                     }())
                        .c_str()
@@ -123,15 +124,15 @@
 }
 
 void printKinds(const std::vector<const Cell *> &cells) {
-  for (const auto &[kind, first] : cells.front()->Figures.Kinds) {
-    Spread stall, p95, p99, inWindow;
+  for (const auto &[kind, first] : cells.front()->Result.Kinds) {
+    SeedStatistics stall, p95, p99, inWindow;
     for (const Cell *it : cells) {
-      const KindFigures &figures = it->Figures.Kinds.at(kind);
-      stall.add(figures.StallTotal);
-      p95.add(figures.StallP95);
-      p99.add(figures.StallP99);
-      inWindow.add(100 * static_cast<double>(figures.InWindow) /
-                   static_cast<double>(figures.Sent));
+      const KindResult &result = it->Result.Kinds.at(kind);
+      stall.add(result.StallTotal);
+      p95.add(result.StallP95);
+      p99.add(result.StallP99);
+      inWindow.add(100 * static_cast<double>(result.InWindow) /
+                   static_cast<double>(result.Sent));
     }
     std::printf("    %-16s stall %8.1f p95 %6.2f p99 %6.2f in window %6.2f%%\n",
                 kind.str().c_str(), stall.mean(), p95.mean(), p99.mean(),
@@ -141,9 +142,9 @@
     return;
   std::printf("    stall by tenth of the time:");
   for (std::size_t i = 0; i < 10; ++i) {
-    Spread tenth;
+    SeedStatistics tenth;
     for (const Cell *it : cells)
-      tenth.add(it->Figures.StallByTenth[i]);
+      tenth.add(it->Result.StallByTenth[i]);
     std::printf(" %.0f", tenth.mean());
   }
   std::printf("\n");
@@ -151,25 +152,25 @@
 
 /// Sets one option of the policy "trial" from a text "name=value".
 /// \returns false if there is no such option.
-bool setKnob(PolicySpec &policy, const std::string &text) {
-  const std::size_t sign = text.find('=');
-  if (sign == std::string::npos)
+bool setOption(PolicySpec &policy, const std::string &text) {
+  const std::size_t separator = text.find('=');
+  if (separator == std::string::npos)
     return false;
-  const std::string knob = text.substr(0, sign);
-  const double value = std::stod(text.substr(sign + 1));
-  if (knob == "choices")
+  const std::string key = text.substr(0, separator);
+  const double value = std::stod(text.substr(separator + 1));
+  if (key == "choices")
     policy.Affinity.Choices = static_cast<std::uint32_t>(value);
-  else if (knob == "packing")
+  else if (key == "packing")
     policy.Affinity.PackingWeight = value;
-  else if (knob == "half-life")
+  else if (key == "half-life")
     policy.Popularity.HalfLife = fromSeconds(value);
-  else if (knob == "stall-share")
+  else if (key == "stall-share")
     policy.StallShare = value;
-  else if (knob == "company")
+  else if (key == "company")
     policy.CompanyShare = value;
-  else if (knob == "session-half-life")
+  else if (key == "session-half-life")
     policy.Popularity.SessionHalfLife = fromSeconds(value);
-  else if (knob == "spill")
+  else if (key == "spill")
     policy.SpillDelay = fromSeconds(value);
   else
     return false;
@@ -188,10 +189,10 @@
                                     ReplayFault::Shift, ReplayFault::LeaderLost,
                                     ReplayFault::BadAdapters};
   std::vector<Cell> cells;
-  std::vector<Deployment> sizes = {coralCoast(), ammann()};
-  for (Deployment &it : sizes)
+  std::vector<Deployment> clusters = {coralCoast(), ammann()};
+  for (Deployment &it : clusters)
     it.SessionRequests = arguments.Session;
-  for (const Deployment &size : sizes)
+  for (const Deployment &cluster : clusters)
     for (const std::string &load : arguments.Loads)
       for (const ReplayFault fault : Faults)
         for (const PolicySpec &policy : policies(arguments))
@@ -199,12 +200,12 @@
             const auto in = [](const auto &list, const std::string &it) {
               return std::ranges::find(list, it) != list.end();
             };
-            if (!in(arguments.Deployments, size.Name) ||
+            if (!in(arguments.Deployments, cluster.Name) ||
                 !in(arguments.Faults, nameOf(fault)) ||
                 (!arguments.Policies.empty() &&
                  !in(arguments.Policies, policy.Name)))
               continue;
-            cells.push_back({.Size = size,
+            cells.push_back({.Cluster = cluster,
                              .Policy = policy,
                              .Load = std::stod(load),
                              .Fault = fault,
@@ -264,7 +265,7 @@
       PolicySpec trial = allPolicies().back();
       trial.Name = "trial";
       for (const std::string &it : splitList(optarg))
-        if (!setKnob(trial, it))
+        if (!setOption(trial, it))
           return 2;
       arguments.Trial = trial;
       break;
@@ -289,8 +290,7 @@
       printKinds(row);
   }
   return std::ranges::all_of(
-             cells,
-             [](const Cell &it) { return it.Figures.Violations.empty(); })
+             cells, [](const Cell &it) { return it.Result.Violations.empty(); })
              ? 0
              : 1;
 }
--- a/packages/testkit/src/ScenarioMain.cpp
+++ b/packages/testkit/src/ScenarioMain.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-bool report(const std::string &name, const ScenarioResult &result, bool story) {
-  if (story)
-    std::fputs(result.Story.c_str(), stdout);
-  std::fputs(result.Faults.toText().c_str(), stdout);
+bool report(const std::string &name, const ScenarioResult &result,
+            bool verbose) {
+  if (verbose)
+    std::fputs(result.RunLog.c_str(), stdout);
+  std::fputs(result.Errors.toText().c_str(), stdout);
   for (const std::string &it : result.Violations)
     std::printf("%s: invariant violated: %s\n", name.c_str(), it.c_str());
-  return result.good();
+  return result.passed();
 }
 
 /// Runs \p count random scenarios with seeds from \p first on, and stops at the
@@ -57,11 +58,12 @@
                stderr);
     return 2;
   }
-  bool good = true;
+  bool passed = true;
   for (int i = 1; i < argc; ++i) {
     std::stringstream text;
     text << std::ifstream(argv[i]).rdbuf();
-    good = report(argv[i], Scenario().run(argv[i], text.str()), true) && good;
+    passed =
+        report(argv[i], Scenario().run(argv[i], text.str()), true) && passed;
   }
-  return good ? 0 : 1;
+  return passed ? 0 : 1;
 }
--- a/test/ScenarioTest.cpp
+++ b/test/ScenarioTest.cpp
@@ -18,8 +18,8 @@
 }
 
 void check(const ScenarioResult &result) {
-  INFO(result.Story);
-  for (const pimentofront::Finding &it : result.Faults.items())
+  INFO(result.RunLog);
+  for (const pimentofront::Finding &it : result.Errors.items())
     FAIL_CHECK(it.Place << ": " << it.Message);
   for (const std::string &it : result.Violations)
     FAIL_CHECK("invariant violated: " << it);
@@ -54,7 +54,7 @@
 TEST_CASE("errors in the text of a scenario are reported by line") {
   const ScenarioResult result =
       Scenario().run("f", "0 dance\n1\n2 kill nobody\n");
-  CHECK(result.Faults.toText().find("f:1: dance: unknown action") !=
+  CHECK(result.Errors.toText().find("f:1: dance: unknown action") !=
         std::string::npos);
-  CHECK(result.Faults.items().size() == 3);
+  CHECK(result.Errors.items().size() == 3);
 }
