--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.h
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.h
@@ -33,8 +33,8 @@
 /// progress. A load of a source that begins with "missing:" fails.
 class FakeWeightStore {
 public:
-  FakeWeightStore(EventScheduler &schedule, const WeightStoreOptions &options)
-      : Scheduler(schedule), Options(options) {}
+  FakeWeightStore(EventScheduler &scheduler, const WeightStoreOptions &options)
+      : Scheduler(scheduler), Options(options) {}
 
   using Done = std::function<void(bool)>;
   void load(const std::string &source, Done done);
@@ -100,9 +100,9 @@
     std::function<void(const AttemptId &)> OnEnd;
   };
 
-  FakeEngine(EventScheduler &schedule, const FakeEngineOptions &options,
+  FakeEngine(EventScheduler &scheduler, const FakeEngineOptions &options,
              FakeWeightStore &store, Ledger &ledger)
-      : Scheduler(schedule), Options(options), Store(store),
+      : Scheduler(scheduler), Options(options), Store(store),
         RequestLedger(ledger) {}
 
   /// Connects an agent; replaces the one that was connected before.
@@ -163,8 +163,8 @@
 /// \brief A plain service with non-idempotent calls.
 class FakeService {
 public:
-  FakeService(EventScheduler &schedule, Ledger &ledger, Duration delay)
-      : Scheduler(schedule), RequestLedger(ledger), Delay(delay) {}
+  FakeService(EventScheduler &scheduler, Ledger &ledger, Duration delay)
+      : Scheduler(scheduler), RequestLedger(ledger), Delay(delay) {}
   void call(const ExecuteRequest &request,
             std::function<void(std::string)> done);
 
