--- a/packages/testkit/pimentofront/src/Testkit/Scenario.h
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.h
@@ -60,7 +60,8 @@
   std::unique_ptr<Impl> State;
 };
 
-/// \returns a scenario with random faults and requests, determined by \p seed.
+/// \returns a scenario with random faults and requests in a typical deployment,
+/// determined by \p seed.
 std::string randomScenario(std::uint64_t seed);
 
 } // namespace pimentofront::testkit
