--- a/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/FakeBackend.cpp
@@ -78,7 +78,7 @@
   Work work{.Request = request};
   // Continues after the text that an earlier attempt generated.
   work.Position =
-      static_cast<std::uint64_t>(std::ranges::count(request.Resumed, ' '));
+      static_cast<std::uint64_t>(std::ranges::count(request.ResumeText, ' '));
   work.End = work.Position + request.MaxTokens;
   Running[request.Attempt] = std::move(work);
   NewRequests.push_back(request.Attempt);
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -79,7 +79,7 @@
         });
       return;
     }
-    if (const auto *complete = std::get_if<ReplyWhole>(&command)) {
+    if (const auto *complete = std::get_if<ReplyComplete>(&command)) {
       begin(complete->Key, complete->Head);
       Fleet.Calls.at(complete->Key).Answer.Body = complete->Body;
       return Fleet.endCall(complete->Key, /*complete=*/true);
@@ -106,7 +106,7 @@
     answer.Status = head.Status;
     answer.Stamped = findHeader(head.Headers, "stamp") != nullptr;
     if (const std::string *it = findHeader(head.Headers, "come-back"))
-      answer.ComeBack = Duration(std::stoll(*it));
+      answer.RetryAfter = Duration(std::stoll(*it));
   }
 
   ForwardFleet &Fleet;
@@ -188,7 +188,7 @@
                           .BaseModel = Service,
                           .Slots = Options.AdapterSlots,
                           .BatchCapacity = Slots,
-                          .CompanyShare = 0},
+                          .BatchingShare = 0},
                 .Zone = zoneOf(i),
                 .Address = host.str(),
                 .Replicas = Addresses};
@@ -342,7 +342,7 @@
                       .Entry = run.Entry,
                       .Zone = zoneOf(static_cast<std::uint32_t>(i)),
                       .Cold = Sim.now() < server.ColdUntil});
-  if (server.Asks.Rest)
+  if (server.Asks.Backoff)
     return reject(server, run);
   const std::uint64_t id = ++LastRun;
   server.Runs.emplace(id, run);
@@ -352,7 +352,7 @@
 }
 
 void ForwardFleet::reject(const Server &server, const Run &run) {
-  const double seconds = toSeconds(*server.Asks.Rest);
+  const double seconds = toSeconds(*server.Asks.Backoff);
   sendHead(server, run, StatusUnavailable,
            {{"not-run", "1"}, {"rest", std::to_string(seconds)}});
 }
@@ -362,7 +362,7 @@
   ScriptedFeedback feedback = server.Asks;
   // Only a rejection carries the backoff.
   if (status != StatusUnavailable)
-    feedback.Rest.reset();
+    feedback.Backoff.reset();
   headers.push_back({"id", run.Id});
   if (feedback.Limit)
     headers.push_back({"limit", std::to_string(*feedback.Limit)});
@@ -370,7 +370,7 @@
     headers.push_back({"leaving", "1"});
   callEntry(run, [this, run, status, headers, feedback,
                   name = server.Name](ForwardNode &node) {
-    if (feedback.Limit || feedback.Rest || feedback.Leaving)
+    if (feedback.Limit || feedback.Backoff || feedback.Leaving)
       Deliveries.push_back({Sim.now(), name, run.Entry, feedback});
     node.upstreamHead(Sim.now(), run.Attempt, {status, headers});
   });
@@ -409,11 +409,12 @@
 void ForwardFleet::onCheck(WorldProcess &entry, const CheckServer &check) {
   constexpr Duration Timeout = std::chrono::milliseconds(200);
   const Server *server = findServer(check.Address);
-  ServerLife life = server->Up ? ServerLife::Lives : ServerLife::Ended;
+  ServerCheckResult life =
+      server->Up ? ServerCheckResult::StillRunning : ServerCheckResult::Exited;
   if (server->PoweredOff)
-    life = ServerLife::Unknown;
+    life = ServerCheckResult::Unknown;
   const Duration wait =
-      life == ServerLife::Unknown ? Timeout : 2 * Options.Latency;
+      life == ServerCheckResult::Unknown ? Timeout : 2 * Options.Latency;
   Sim.after(wait,
             [this, host = entry.Spec.Host, incarnation = entry.Incarnation,
              process = check.Server, life] {
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
@@ -47,7 +47,7 @@
   TimePoint EndedAt;
   int Status = 0;
   /// Retry-after of a refusal.
-  Duration ComeBack = Duration::zero();
+  Duration RetryAfter = Duration::zero();
   std::string Body;
   /// The answer is complete.
   bool Whole = false;
@@ -60,7 +60,7 @@
   /// Requests a second, from all entries together.
   std::optional<double> Limit;
   /// The server rejects all new requests and asks for none during this time.
-  std::optional<Duration> Rest;
+  std::optional<Duration> Backoff;
   bool Leaving = false;
 };
 
--- a/packages/testkit/pimentofront/src/Testkit/PlainHeaders.h
+++ b/packages/testkit/pimentofront/src/Testkit/PlainHeaders.h
@@ -28,7 +28,7 @@
       traits.Key = KeyDigest::of(*it);
     if (const std::string *it = findHeader(head.Headers, "tokens")) {
       traits.PromptTokens = static_cast<std::uint32_t>(std::stoul(*it));
-      traits.TellsTokens = true;
+      traits.HasTokenCounts = true;
     }
     traits.BaseModel = "m";
     return traits;
@@ -39,7 +39,7 @@
         .LimitPerSecond = readDecimalHeader(head.Headers, "limit").Value,
         .Leaving = findHeader(head.Headers, "leaving") != nullptr};
     if (const auto rest = readDecimalHeader(head.Headers, "rest").Value)
-      feedback.Rest = ServerFeedback::boundedRest(*rest);
+      feedback.Backoff = ServerFeedback::boundedBackoff(*rest);
     return {.Id = id ? *id : "",
             .Stamped = findHeader(head.Headers, "stamp") != nullptr,
             .NotRun = findHeader(head.Headers, "not-run") != nullptr,
@@ -55,15 +55,16 @@
       result.Headers.push_back({"account", traits.Account.str()});
     if (traits.Priority)
       result.Headers.push_back({"priority", std::to_string(*traits.Priority)});
-    if (traits.LastEvent)
-      result.Headers.push_back({"last", std::to_string(*traits.LastEvent)});
+    if (traits.LastEventId)
+      result.Headers.push_back({"last", std::to_string(*traits.LastEventId)});
     return result;
   }
-  HttpHeaders refusalHeaders(const RequestTraits &,
-                             std::optional<Duration> comeBack) const override {
-    if (!comeBack)
+  HttpHeaders
+  refusalHeaders(const RequestTraits &,
+                 std::optional<Duration> retryAfter) const override {
+    if (!retryAfter)
       return {};
-    return {{"come-back", std::to_string(comeBack->count())}};
+    return {{"come-back", std::to_string(retryAfter->count())}};
   }
 };
 
--- a/packages/testkit/pimentofront/src/Testkit/Replay.h
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.h
@@ -27,8 +27,8 @@
   AffinityOptions Affinity;
   PopularityOptions Popularity;
   double StallShare = 0.4;
-  double CompanyShare = 0.05;
-  Duration CompanyLimit = std::chrono::milliseconds(400);
+  double BatchingShare = 0.05;
+  Duration BatchingWait = std::chrono::milliseconds(400);
   Duration SpillDelay = std::chrono::milliseconds(500);
 };
 const std::vector<PolicySpec> &allPolicies();
--- a/packages/testkit/src/ReplayMain.cpp
+++ b/packages/testkit/src/ReplayMain.cpp
@@ -167,7 +167,7 @@
   else if (key == "stall-share")
     policy.StallShare = value;
   else if (key == "company")
-    policy.CompanyShare = value;
+    policy.BatchingShare = value;
   else if (key == "session-half-life")
     policy.Popularity.SessionHalfLife = fromSeconds(value);
   else if (key == "spill")
--- a/test/ScenarioTest.cpp
+++ b/test/ScenarioTest.cpp
@@ -20,7 +20,7 @@
 void check(const ScenarioResult &result) {
   INFO(result.RunLog);
   for (const pimentofront::Finding &it : result.Errors.items())
-    FAIL_CHECK(it.Place << ": " << it.Message);
+    FAIL_CHECK(it.Location << ": " << it.Message);
   for (const std::string &it : result.Violations)
     FAIL_CHECK("invariant violated: " << it);
 }
