--- a/packages/testkit/pimentofront/src/Testkit/World.h
+++ b/packages/testkit/pimentofront/src/Testkit/World.h
@@ -9,7 +9,7 @@
 
 /// \class MemoryLogStore
 /// \ingroup Testkit
-/// \brief A disk of the world: survives kills of its process.
+/// \brief A simulated disk. Its contents survive a kill of the process.
 class MemoryLogStore : public LogStore {
 public:
   explicit MemoryLogStore(ReplicaId id) { Stored.Id = id; }
@@ -25,7 +25,8 @@
 
 /// \class ProcessSpec
 /// \ingroup Testkit
-/// \brief What a process of the world is; stays through its restarts.
+/// \brief Configuration of a simulated process; the same for all its
+/// incarnations.
 struct ProcessSpec {
   HostName Host;
   ZoneName Zone;
@@ -50,7 +51,7 @@
 
 /// \class WorldProcess
 /// \ingroup Testkit
-/// \brief One process: its nodes, its links, its engine beside it.
+/// \brief A simulated process with its nodes, and the engine on the same host.
 class WorldProcess : public Transport, public BackendDriver, public AnswerSink {
 public:
   WorldProcess(World &world, ProcessSpec spec);
@@ -68,7 +69,7 @@
   void onFinal(RequestKey key, const KindName &kind,
                const FinalAnswer &answer) override;
 
-  World &In;
+  World &Owner;
   ProcessSpec Spec;
   bool Alive = false;
   bool Frozen = false;
@@ -82,10 +83,11 @@
   std::unique_ptr<AgentNode> Agent;
   std::unique_ptr<ReplicaNode> Replica;
   std::unique_ptr<ForwardNode> Forward;
-  /// What arrived while it was frozen, in order.
-  std::vector<std::function<void()>> Held;
-  std::uint64_t KnownEngine = 0;
-  /// Requests that its callers wait for.
+  /// Events that arrived while the process was frozen, in order.
+  std::vector<std::function<void()>> PendingEvents;
+  /// FakeEngine::startedAt() as the agent last saw it; 0 if none is known.
+  std::uint64_t KnownEngineStart = 0;
+  /// Requests whose callers are waiting for an answer.
   std::set<RequestKey> Waiting;
 };
 
@@ -93,6 +95,7 @@
 /// \ingroup Testkit
 struct WorldOptions {
   std::uint64_t Seed = 1;
+  /// One-way latency within an availability zone, and between two.
   Duration InZone = std::chrono::microseconds(200);
   Duration BetweenZones = std::chrono::microseconds(900);
   WeightStoreOptions Store;
@@ -102,8 +105,9 @@
 
 /// \class World
 /// \ingroup Testkit
-/// \brief Processes, links between them, and one clock.
-class World : public Schedule, public WallClock {
+/// \brief The simulation: processes, the links between them, and the virtual
+/// clock.
+class World : public EventScheduler, public WallClock {
 public:
   explicit World(const WorldOptions &options);
   ~World() override;
@@ -122,32 +126,36 @@
   void kill(WorldProcess &process);
   void freeze(WorldProcess &process) { process.Frozen = true; }
   void wake(WorldProcess &process);
-  /// Kills a process, and starts it again after \p away.
-  void killFor(WorldProcess &process, Duration away);
-  /// Freezes a process, and wakes it after \p away if it still stands then.
-  void freezeFor(WorldProcess &process, Duration away);
+  /// Kills a process, and starts it again after \p duration.
+  void killFor(WorldProcess &process, Duration duration);
+  /// Freezes a process, and wakes it after \p duration if it is still frozen
+  /// then.
+  void freezeFor(WorldProcess &process, Duration duration);
   void loseDisk(WorldProcess &process);
 
-  /// Silently drops what \p from sends to \p to; TCP sends it again on heal.
+  /// Stops delivery from \p from to \p to without closing links. As with TCP
+  /// retransmission, healAll() delivers what is pending; a link whose data is
+  /// pending for 10 s is closed.
   void cut(const HostName &from, const HostName &to);
   void healAll();
   void slow(const HostName &from, const HostName &to, Duration delay);
 
-  /// Calls \p action if that process still lives; when it wakes, if it is
-  /// frozen.
+  /// Calls \p action if that incarnation of the process is alive; when it
+  /// wakes, if it is frozen.
   void atProcess(const HostName &host, std::uint64_t incarnation,
                  std::function<void(WorldProcess &)> action);
 
-  /// Sends a caller's request to an entry.
+  /// Submits a caller's request at an entry.
   RequestKey request(WorldProcess &entry, CallerRequest request);
-  /// Has an entry decide on an operator's command.
+  /// Submits an operator's command at an entry. \p done gets no outcome if the
+  /// entry is down.
   void command(WorldProcess &entry, const Command &command,
                CommandCallback done);
 
-  Ledger Book;
+  Ledger RequestLedger;
   FakeWeightStore Store;
   FakeService Service;
-  Random Chance;
+  Random Rng;
 
 private:
   friend class WorldProcess;
@@ -160,17 +168,17 @@
     }
   };
   /// One end of a link.
-  struct End {
+  struct LinkEnd {
     HostName Host;
     std::uint64_t Incarnation = 0;
     HostName PeerHost;
     LinkId Peer = 0;
     LinkPurpose Purpose = LinkPurpose::General;
     bool Known = false;
-    /// The other side's greeting has come; nothing is sent before.
+    /// The peer's greeting has arrived. Messages are queued until then.
     bool Open = false;
     TimePoint LastArrival;
-    /// What waits for the greeting, or is under way while the direction is cut.
+    /// Messages that wait for the greeting or for the end of a cut.
     std::vector<Message> Unsent;
     TimePoint UnsentSince;
   };
@@ -180,11 +188,11 @@
   void connect(LinkId ours);
   void sendOn(LinkId link, const Message &message);
   void sendUnsent(LinkId link);
-  void tellOpen(LinkId link, const Hello &hello);
+  void notifyOpen(LinkId link, const Hello &hello);
   void closeLink(LinkId link);
   void dropLinksOf(const HostName &host);
-  /// Tells the owner of \p link that it ended.
-  void tellClosed(LinkId link);
+  /// Notifies the owner of \p link that it was closed.
+  void notifyClosed(LinkId link);
   void deliver(LinkId to, const Message &message);
   bool isCut(const HostName &from, const HostName &to) const;
   Duration delayBetween(const HostName &from, const HostName &to) const;
@@ -197,10 +205,10 @@
   std::uint64_t Sequence = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> Events;
   std::map<HostName, std::unique_ptr<WorldProcess>> Processes;
-  std::map<LinkId, End> Ends;
+  std::map<LinkId, LinkEnd> LinkEnds;
   LinkId LastLink = 0;
   std::set<std::pair<HostName, HostName>> Cuts;
-  std::map<std::pair<HostName, HostName>, Duration> Slow;
+  std::map<std::pair<HostName, HostName>, Duration> LinkDelays;
   RequestKey LastKey = 0;
   ReplicaId LastDisk = 1000;
 };
--- a/packages/testkit/src/FakeEngineMain.cpp
+++ b/packages/testkit/src/FakeEngineMain.cpp
@@ -1,9 +1,10 @@
-//===- FakeEngineMain.cpp - A stand-in for a model engine -------*- C++ -*-===//
+//===- FakeEngineMain.cpp - Fake model engine -------------------*- C++ -*-===//
 ///
-/// Speaks the published interface of OpenAI-style engines with LoRA adapters:
-/// /v1/completions as a stream, /v1/load_lora_adapter, /v1/unload_lora_adapter,
-/// /v1/models, /metrics. A token names the adapter that made it, so that a test
-/// sees an answer of the wrong one.
+/// Implements the public HTTP API of OpenAI-compatible engines with LoRA
+/// adapters: /v1/completions (streaming only), /v1/load_lora_adapter,
+/// /v1/unload_lora_adapter, /v1/models and /metrics. Each token contains the
+/// name of the adapter that generated it, so that a test can detect an answer
+/// from the wrong adapter.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -30,11 +31,11 @@
   Duration LoadTime = std::chrono::milliseconds(250);
 };
 
-/// One stream of tokens.
+/// A streamed completion.
 struct Stream {
   std::shared_ptr<HttpExchange> Exchange;
   std::string Model;
-  std::uint64_t Left = 0;
+  std::uint64_t RemainingTokens = 0;
   std::uint64_t Position = 0;
   std::unique_ptr<Timer> Next;
 };
@@ -54,7 +55,8 @@
       return models(*exchange);
     const Json body = Json::parse(exchange->body(), nullptr, false);
     if (!body.is_object())
-      return exchange->reply(StatusBadRequest, {}, "no JSON object");
+      return exchange->reply(StatusBadRequest, {},
+                             "the body isn't a JSON object");
     if (path == "/v1/completions")
       return complete(exchange, body);
     if (path == "/v1/load_lora_adapter")
@@ -108,7 +110,7 @@
     Stream &stream = Streams[id];
     stream.Exchange = exchange;
     stream.Model = model;
-    stream.Left = body.value("max_tokens", 16U);
+    stream.RemainingTokens = body.value("max_tokens", 16U);
     exchange->beginStream(StatusOk, {{"Content-Type", "text/event-stream"}});
     exchange->onGone([this, id] { Streams.erase(id); });
     if (Options.TokenTime == Duration::zero())
@@ -116,7 +118,7 @@
     stream.Next = Loop.every(Options.TokenTime, [this, id] { step(id); });
   }
 
-  /// Without a time for a token the whole answer comes at once.
+  /// Sends the whole answer at once, for a token time of zero.
   void finish(std::uint64_t id) {
     while (Streams.contains(id))
       step(id);
@@ -124,7 +126,7 @@
 
   void step(std::uint64_t id) {
     Stream &stream = Streams.at(id);
-    if (stream.Left == 0) {
+    if (stream.RemainingTokens == 0) {
       const auto exchange = stream.Exchange;
       auto timer =
           std::make_shared<std::unique_ptr<Timer>>(std::move(stream.Next));
@@ -133,7 +135,7 @@
       exchange->endStream();
       return;
     }
-    --stream.Left;
+    --stream.RemainingTokens;
     const std::string text =
         stream.Model + "#" + std::to_string(stream.Position++) + " ";
     stream.Exchange->sendPiece(
