--- a/test/EvacuationFleetTest.cpp
+++ b/test/EvacuationFleetTest.cpp
@@ -1,6 +1,7 @@
-// Orders to evacuate a zone were answered 405, requests went on to its servers,
-// and servers that came back cold got up to three times the requests that they
-// take: nothing read either. Found on a deployment with both.
+// Evacuations of zones and warm-up of cold servers, with failures. Both were
+// once not implemented: an order to evacuate a zone was answered with 405 and
+// requests kept going to its servers, and servers that restarted cold received
+// up to three times the requests that a cold server takes.
 
 #include "Schedules.h"
 #include "pimentofront/Testkit.h"
@@ -14,16 +15,18 @@
 
 namespace {
 
-/// An evacuation is in force everywhere so long after its acknowledgement.
+/// Time after its acknowledgement by which an evacuation is in force
+/// everywhere.
 constexpr Duration EvacuationBound = 5s;
-/// An operator sends an order again for so long at most.
+/// Maximum time for which an operator resends an order.
 constexpr Duration OperatorPatience = 5s;
-/// A cold server gets no more than this in any second.
+/// A cold server gets at most ColdPerSecond * ColdOvershoot + ColdSlack
+/// requests in any second.
 constexpr double ColdPerSecond = 2;
 constexpr double ColdOvershoot = 1.5;
 constexpr double ColdSlack = 5;
 
-/// One order of an operator, sent again until it is acknowledged.
+/// One order of an operator, resent until it is acknowledged.
 struct Order {
   ZoneName Zone;
   bool Evacuate = false;
@@ -35,13 +38,13 @@
   std::uint64_t Seed = 1;
   bool Engines = false;
   double RequestsPerSecond = 60;
-  /// Share of the acknowledgements that get lost.
+  /// Share of the acknowledgements that are lost.
   double AcknowledgementsLost = 0;
   std::uint32_t Servers = 12;
   std::uint32_t Entries = 4;
 };
 
-/// A fleet in three zones under load, and operators.
+/// A fleet in three zones under load, with operators.
 class ZoneFleet {
 public:
   explicit ZoneFleet(const ZoneFleetOptions &options)
@@ -64,7 +67,8 @@
     }
   }
 
-  /// Begins to send an order, to any replica, until it is acknowledged.
+  /// Starts an order and resends it until it is acknowledged or
+  /// OperatorPatience is over.
   std::shared_ptr<Order> order(const ZoneName &zone, bool evacuate) {
     const auto order = std::make_shared<Order>(
         Order{.Zone = zone, .Evacuate = evacuate, .SentAt = Fleet.now()});
@@ -72,7 +76,7 @@
     return order;
   }
 
-  /// \returns requests to the zone from \p from to \p until.
+  /// \returns the number of requests to the zone in [\p from, \p until).
   std::size_t arrivalsIn(const ZoneName &zone, TimePoint from,
                          TimePoint until) const {
     return static_cast<std::size_t>(
@@ -81,7 +85,7 @@
         }));
   }
 
-  /// \returns the most requests that a cold server got within any second.
+  /// \returns the maximum number of requests to one cold server in any second.
   std::size_t mostWhileCold() const {
     std::map<HostName, std::vector<TimePoint>> cold;
     for (const ServerArrival &it : Fleet.arrivals())
@@ -93,7 +97,7 @@
     return most;
   }
 
-  /// \returns what is in force at the leader; nothing without one.
+  /// \returns whether the zone is evacuated at the leader; not set without one.
   std::optional<bool> isEvacuated(const ZoneName &zone) {
     WorldProcess *leader = Fleet.world().leader();
     if (!leader)
@@ -102,7 +106,7 @@
         leader->Replica->state().configuration().findZone(zone);
     return it && it->Evacuated;
   }
-  /// \returns how often a record of the configuration was changed.
+  /// \returns the number of changes to the configuration; 0 without a leader.
   Revision changes() {
     WorldProcess *leader = Fleet.world().leader();
     return leader ? leader->Replica->state().configuration().revision() : 0;
@@ -134,14 +138,14 @@
     if (order->AcknowledgedAt ||
         Fleet.now() >= order->SentAt + OperatorPatience)
       return;
-    // Some calls are on their way for most of the time that one may take.
+    // One in five calls is delayed for most of a call's maximum duration.
     const Duration way = Chance.uniform() < 0.2 ? Chance.jitter(500ms) : 2ms;
     Fleet.world().after(way, [this, order] { reachReplica(order); });
     Fleet.world().after(Chance.jitter(700ms),
                         [this, order] { sendOrder(order); });
   }
 
-  /// Only the leader takes orders; the others refer to it.
+  /// Only the leader accepts orders; the other replicas redirect to it.
   void reachReplica(const std::shared_ptr<Order> &order) {
     WorldProcess *leader = Fleet.world().leader();
     if (!leader || leader->Frozen || !leader->Alive)
@@ -162,7 +166,7 @@
 
 } // namespace
 
-TEST_CASE("an evacuated zone gets nothing, and comes back by and by",
+TEST_CASE("an evacuated zone gets no requests, and a restored one warms up",
           "[evacuation]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -176,7 +180,7 @@
       REQUIRE(away->AcknowledgedAt);
       const TimePoint until = it.Fleet.now();
       CHECK(it.arrivalsIn(First, *away->AcknowledgedAt + 500ms, until) == 0);
-      // The other two zones do its work.
+      // The other two zones take its load.
       CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 90 / 100);
       for (std::uint32_t i = 0; i < 12; i += 3)
         it.Fleet.chillServer(i);
@@ -189,7 +193,7 @@
     }
 }
 
-TEST_CASE("servers that start under load are cold first", "[evacuation]") {
+TEST_CASE("servers that start under load are treated as cold", "[evacuation]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       ZoneFleet it({.Seed = seed, .Engines = engines});
@@ -206,10 +210,10 @@
 
 TEST_CASE("a late resend doesn't undo an opposite order", "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 5, .AcknowledgementsLost = 1});
-  // What a leader before this one took is certainly not sent again.
+  // After this time no order that an earlier leader accepted can be resent.
   it.runFor(5s);
   const Revision before = it.changes();
-  // Never acknowledged, so it is sent again for five seconds.
+  // Never acknowledged, and therefore resent for five seconds.
   const auto away = it.order(First, /*evacuate=*/true);
   it.runFor(1s);
   REQUIRE(it.isEvacuated(First) == true);
@@ -220,14 +224,14 @@
   it.runFor(8s);
   CHECK(it.isEvacuated(First) == false);
   CHECK(it.changes() == before + 2);
-  // A new one is taken, since no resend can come any more.
+  // A new order is accepted, since no resend can arrive any more.
   const auto again = it.order(First, /*evacuate=*/true);
   it.runFor(1s);
   CHECK(again->AcknowledgedAt);
   CHECK(it.isEvacuated(First) == true);
 }
 
-TEST_CASE("an evacuation outlives the loss of all processes", "[evacuation]") {
+TEST_CASE("an evacuation survives a restart of all processes", "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 20});
   const auto away = it.order(First, /*evacuate=*/true);
   it.runFor(1s);
@@ -243,8 +247,10 @@
   CHECK(it.arrivalsIn(First, began, it.Fleet.now()) == 0);
 }
 
-TEST_CASE("an entry out of touch sends nothing once a zone may be evacuated",
-          "[evacuation]") {
+TEST_CASE(
+    "an entry without contact to the replicas stops sending to a zone that "
+    "may be evacuated",
+    "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 40});
   it.runFor(2s);
   World &world = it.Fleet.world();
@@ -266,9 +272,10 @@
 
 namespace {
 
-/// An evacuation and its end while processes start anew, stand still and are
-/// cut off, with acknowledgements that get lost and resends that come late.
-/// \returns what broke, empty if nothing did.
+/// Runs a random schedule of an evacuation and its end while processes restart,
+/// are paused and are cut off, acknowledgements are lost and resends are late.
+/// \returns a description of each violation and the schedule; empty if there
+/// was none.
 std::string playSchedule(std::uint64_t seed) {
   Random chance(seed);
   const auto draw = [&](std::uint64_t n) {
@@ -328,9 +335,10 @@
   const auto away = it.order(First, /*evacuate=*/true);
   tell("evacuate");
   run(3 + draw(9));
-  // From its sending on, the end of the evacuation may be in force.
+  // The restore order may be in force from the moment it is sent.
   const TimePoint ended = it.Fleet.now();
-  // Only where nobody sends: else heartbeats tell of it a second later.
+  // Servers turn cold only while no requests go to the zone: entries learn of
+  // it with the heartbeats, a second later.
   const bool empty =
       away->AcknowledgedAt && ended >= *away->AcknowledgedAt + EvacuationBound;
   for (std::uint32_t i = 0; empty && i < it.Options.Servers; i += 3)
@@ -349,15 +357,16 @@
     if (sent > 0)
       add(std::to_string(sent) + " requests to an evacuated zone");
   }
-  // The evacuation was over before its end was acknowledged, or came after it.
+  // The evacuation was acknowledged before the restore order was sent, so that
+  // the zone must not be evacuated now.
   if (back->AcknowledgedAt && away->AcknowledgedAt &&
       *away->AcknowledgedAt < ended && it.isEvacuated(First) == true)
-    add("evacuated again");
+    add("the zone is evacuated again after its restore");
   if (away->AcknowledgedAt && !back->AcknowledgedAt &&
       it.isEvacuated(First) == false && it.changes() != before + 2)
-    add("an acknowledged evacuation is gone");
+    add("an acknowledged evacuation was lost");
   if (it.changes() > before + 2)
-    add("an order was carried out twice");
+    add("an order was executed twice");
   const auto most = static_cast<double>(it.mostWhileCold());
   if (most > ColdPerSecond * ColdOvershoot + ColdSlack)
     add(std::to_string(most) + " requests in a second to a cold server");
@@ -366,13 +375,13 @@
 
 } // namespace
 
-TEST_CASE("evacuations and cold starts hold while processes fail",
+TEST_CASE("evacuations and limits of cold servers hold while processes fail",
           "[evacuation]") {
   checkSchedules(playSchedule, 1, 60);
 }
 
-// To be run by hand; --rng-seed says where it begins.
-TEST_CASE("evacuations and cold starts hold on many schedules",
+// Run manually; --rng-seed sets the first seed.
+TEST_CASE("evacuations and limits of cold servers hold on many schedules",
           "[.evacuation-schedules]") {
   const std::uint64_t first = Catch::rngSeed();
   checkSchedules(playSchedule, first, first + 1249);
--- a/test/QuarantineFleetTest.cpp
+++ b/test/QuarantineFleetTest.cpp
@@ -1,8 +1,9 @@
-// One request ended engine after engine for as long as its caller sent it
-// again: two processes for each attempt, 49 and 58 in all on one day, and with
-// each process some eight requests beside it broke off. What a request had done
-// was known to its attempt alone; the next one, under another id and mostly at
-// another entry, began without a past.
+// A request that crashes the server that runs it must be quarantined. Without a
+// quarantine such a request crashed one engine after another for as long as its
+// caller resent it: two processes per attempt, 49 and 58 in total, and about
+// eight other requests broke off with each process. Only the attempt itself
+// knew which servers had crashed; the next attempt has another id, mostly
+// arrives at another entry, and was treated as a new request.
 
 #include "pimentofront/Testkit.h"
 
@@ -15,8 +16,8 @@
 
 namespace {
 
-/// Sends beyond the third end of a server count from here on: the time in which
-/// what is decided must be in force everywhere.
+/// Time after the third crash within which the quarantine must be in force at
+/// all entries; only requests that reach a server later count as late.
 constexpr Duration InForceWithin = 3s;
 
 std::vector<std::string> deadlyRequests(std::size_t n) {
@@ -27,7 +28,7 @@
   return result;
 }
 
-/// A fleet under some load, and what became of its callers.
+/// A fleet under load, with counters of its callers' outcomes.
 struct LoadedFleet {
   explicit LoadedFleet(const ForwardFleetOptions &options)
       : Fleet(options), Chance(options.World.Seed + 1) {
@@ -39,8 +40,8 @@
     return Fleet.entry(static_cast<std::uint32_t>(Chance.uniform() * n));
   }
 
-  /// Some 40 requests a second, each of its own content; their callers try a
-  /// second time when they get no answer.
+  /// Sends a request with a content of its own; the caller retries once when it
+  /// gets no answer. run() sends about 40 of them per second.
   void send() {
     const std::string content = "ordinary-" + std::to_string(++Ordinary);
     Fleet.call(anyEntry(), content, [this, content](const CallerAnswer &it) {
@@ -60,7 +61,7 @@
       ++Innocents;
   }
 
-  /// Runs \p load, in which each of \p deadly is sent again and again.
+  /// Sends load for \p load and resends each of \p deadly every 300 ms.
   void run(Duration load, const std::vector<std::string> &deadly) {
     for (const std::string &it : deadly)
       Fleet.addDeadly(it);
@@ -85,8 +86,8 @@
         ends.push_back(it.At);
     return ends;
   }
-  /// \returns how often the request reached a server once it should have been
-  /// known everywhere that three had ended under it.
+  /// \returns how often the request reached a server more than InForceWithin
+  /// after its third crash.
   int sendsTooLate(const std::string &content) const {
     const std::vector<TimePoint> ends = endsBy(content);
     if (ends.size() < 3)
@@ -109,25 +110,26 @@
 
 } // namespace
 
-TEST_CASE("a request under which three servers ended reaches few more",
+TEST_CASE("a request that crashed three servers reaches few other servers",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     it.run(20s, {"deadly"});
-    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " ended");
+    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " crashes");
     CHECK(it.sendsTooLate("deadly") <= 3);
     CHECK(it.endsBy("deadly").size() <= 8);
     CHECK(it.Innocents == 0);
   }
 }
 
-TEST_CASE("ten such requests at one time cost nobody else the service",
+TEST_CASE("ten crashing requests at once put no other request in quarantine",
           "[quarantine]") {
   const std::vector<std::string> deadly = deadlyRequests(10);
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     it.run(20s, deadly);
-    INFO("seed " << seed << ", lost " << it.Lost << " of " << it.Ordinary);
+    INFO("seed " << seed << ", unanswered " << it.Lost << " of "
+                 << it.Ordinary);
     CHECK(it.Innocents == 0);
     for (const std::string &content : deadly) {
       CHECK(it.sendsTooLate(content) <= 3);
@@ -136,7 +138,7 @@
   }
 }
 
-TEST_CASE("servers that end by themselves put nobody in quarantine",
+TEST_CASE("servers that crash for other reasons put no request in quarantine",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
@@ -155,7 +157,7 @@
   }
 }
 
-TEST_CASE("the quarantine holds while replicas and entries come and go",
+TEST_CASE("the quarantine holds while replicas and entries restart",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
@@ -163,8 +165,9 @@
     const auto during = [&](Duration at, std::function<void()> action) {
       world.after(at, std::move(action));
     };
-    // The leader goes just as the first ends are reported; an entry starts
-    // anew; one sleeps for three seconds; then all replicas start anew.
+    // The leader is killed while the first crashes are being reported; one
+    // entry restarts; another is paused for three seconds; then all replicas
+    // restart.
     during(1500ms, [&] {
       if (WorldProcess *leader = world.leader()) {
         world.kill(*leader);
@@ -182,14 +185,14 @@
       }
     });
     it.run(20s, {"deadly"});
-    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " ended");
+    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " crashes");
     CHECK(it.sendsTooLate("deadly") <= 3);
     CHECK(it.endsBy("deadly").size() <= 10);
     CHECK(it.Innocents == 0);
   }
 }
 
-TEST_CASE("figures of the quarantine", "[.figures]") {
+TEST_CASE("measurements of the quarantine", "[.figures]") {
   for (const std::size_t n : {0U, 1U, 3U, 10U})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       const std::vector<std::string> deadly = deadlyRequests(n);
@@ -201,8 +204,9 @@
         ends += " " + std::to_string(it.endsBy(content).size());
         late += it.sendsTooLate(content);
       }
-      std::printf("deadly %zu seed %d: ends%s, late sends %d, innocents %d, "
-                  "ordinary %d answered %d lost %d\n",
+      std::printf("crashing requests %zu, seed %d: crashes%s, late sends %d, "
+                  "wrongly quarantined %d, other requests %d, answered %d, "
+                  "unanswered %d\n",
                   n, static_cast<int>(seed), ends.c_str(), late, it.Innocents,
                   it.Ordinary, it.Answered, it.Lost);
     }
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -1,9 +1,11 @@
-// Engines in need named the requests a second that they take from all entries
-// together, and got as many as before: one that had named 1.2 got 14 in four
-// seconds, one that had named 1.0 got 12. The header went on to the caller with
-// the rest of the answer, and neither entry nor agent read it. The pace of each
-// entry didn't change when the limit was named, which it would have if each had
-// kept the limit for itself, and no attempt was repeated there.
+// A server under pressure may report in its answers the maximum rate, in
+// requests per second, that it accepts from all entries together. Entries and
+// agents once ignored that header and only passed it on to the caller, so that
+// the limit had no effect: with a limit of 1.2 a server received 14 requests in
+// four seconds, with 1.0 it received 12. It was not a limit that each entry
+// applied for itself, since no entry's rate changed when the limit was
+// reported, nor did retries cause the excess, since no attempt was repeated
+// there.
 
 #include "Schedules.h"
 #include "pimentofront/Testkit.h"
@@ -18,13 +20,13 @@
 
 namespace {
 
-/// Over so long a limit is kept.
+/// A limit holds over every period of this length.
 constexpr Duration Window = 4s;
-/// From so long after a limit was first named.
+/// A limit is checked from this time after it was first reported.
 constexpr Duration StableTime = 3s;
-/// An entry obeys so long after it has read a limit.
+/// An entry must obey a limit from this time after it received it.
 constexpr Duration ToldFor = 500ms;
-/// Requests beyond the limit that all entries together may send at once.
+/// Requests above the limit that all entries together may send at once.
 constexpr double Burst = 2;
 
 struct FleetLoad {
@@ -32,7 +34,7 @@
   std::uint32_t Adapters = 60;
 };
 
-/// A fleet under load, judged by what its servers count.
+/// A fleet under load; checks use the arrivals that its servers count.
 struct AskingFleet {
   AskingFleet(const ForwardFleetOptions &options, const FleetLoad &load)
       : Fleet(options), Chance(options.World.Seed + 1), Load(load),
@@ -44,13 +46,13 @@
     return Fleet.entry(static_cast<std::uint32_t>(Chance.uniform() * Entries));
   }
 
-  /// A few adapters are asked for most of the time.
+  /// Draws an adapter; adapters with low numbers are the most popular.
   std::string anyAdapter() {
     const double x = Chance.uniform();
     return "a" + std::to_string(static_cast<int>(x * x * Load.Adapters));
   }
 
-  /// A caller tries a second time, when it was told to.
+  /// Sends a request; a caller without an answer retries once after 500 ms.
   void send() {
     const std::string content = "request-" + std::to_string(++Sent);
     const std::string adapter = anyAdapter();
@@ -81,8 +83,9 @@
     }
   }
 
-  /// \returns the most requests that reached \p server within any window from
-  /// entries that had read its limit, while it named one from \p since on.
+  /// \returns the maximum number of requests that reached \p server within any
+  /// Window up to \p until, while it reported a limit from \p since on. Only
+  /// requests of entries that had received the limit count.
   std::size_t mostInWindow(const HostName &server, TimePoint since,
                            TimePoint until) const {
     std::vector<TimePoint> counted;
@@ -116,7 +119,7 @@
   int Answered = 0;
 };
 
-/// \returns the most requests that may come within a window.
+/// \returns the maximum number of requests that may arrive within Window.
 double bound(double limit) { return limit * toSeconds(Window) + Burst; }
 
 ForwardFleetOptions fleetOf(std::uint64_t seed, bool engines) {
@@ -124,7 +127,7 @@
           .Engines = engines};
 }
 
-/// Two of twelve servers name limits for 30 seconds.
+/// Two of twelve servers report limits for 30 seconds.
 void checkTwoLimits(std::uint64_t seed, bool engines) {
   AskingFleet it(fleetOf(seed, engines), {});
   it.runFor(10s);
@@ -140,27 +143,26 @@
   const HostName second = it.Fleet.serverName(7);
   CHECK(it.mostInWindow(first, since, until) <= bound(1.2));
   CHECK(it.mostInWindow(second, since, until) <= bound(1.0));
-  // Both still serve, and the others do the rest.
+  // Both servers still serve, and the other servers take the remaining load.
   CHECK(it.arrivalsAt(first, since, until) >= 10);
   CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 95 / 100);
 }
 
 } // namespace
 
-TEST_CASE("engines that name a limit get no more, from all entries together",
+TEST_CASE("all entries together keep to the limit that an engine reports",
           "[server-limit]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
     checkTwoLimits(seed, /*engines=*/true);
 }
 
-TEST_CASE("plain servers that name a limit get no more, from all entries "
-          "together",
+TEST_CASE("all entries together keep to the limit that a plain server reports",
           "[server-limit]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
     checkTwoLimits(seed, /*engines=*/false);
 }
 
-TEST_CASE("what limited servers take is used while callers wait for it",
+TEST_CASE("the capacity of limited servers is used while requests wait for it",
           "[server-limit]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -186,7 +188,7 @@
     }
 }
 
-TEST_CASE("a limit of nothing is noticed to have ended", "[server-limit]") {
+TEST_CASE("the end of a limit of zero is detected", "[server-limit]") {
   for (const bool engines : {true, false}) {
     AskingFleet it(fleetOf(1, engines), {});
     it.runFor(10s);
@@ -206,8 +208,9 @@
 
 namespace {
 
-/// Limits begin, fall, rise and end while entries, agents and the leader start
-/// anew or stand still. \returns what broke the bound, empty if nothing did.
+/// Runs a random schedule in which limits begin, fall, rise and end while
+/// entries, agents and the leader restart or are paused.
+/// \returns a description of each limit that was exceeded; empty if none was.
 std::string playSchedule(std::uint64_t seed) {
   Random chance(seed);
   const auto draw = [&](std::uint64_t n) {
@@ -268,19 +271,20 @@
 
 } // namespace
 
-TEST_CASE("a limit is kept while processes start anew and stand still",
+TEST_CASE("a limit holds while processes restart and are paused",
           "[server-limit]") {
   checkSchedules(playSchedule, 1, 100);
 }
 
 namespace {
 
-/// \returns the requests that reached servers from entries that had read a word
-/// which \p forbids them at that time.
+/// \returns the number of requests that reached a server although their entry
+/// had received feedback from it that, by \p forbids, excludes a request at
+/// that time.
 std::size_t sentAgainst(const ForwardFleet &fleet,
                         bool (*forbids)(const FeedbackTold &word,
                                         TimePoint at)) {
-  // On the way to the server when the answer was read.
+  // Covers requests in flight to the server when the entry read the answer.
   constexpr Duration Latency = 2ms;
   return static_cast<std::size_t>(
       std::ranges::count_if(fleet.arrivals(), [&](const ServerArrival &sent) {
@@ -305,12 +309,12 @@
 
 } // namespace
 
-// Four of twelve engines turned all new requests away and asked each entry for
-// three seconds of rest. One entry sent one of them five and six requests more
-// in that time: the time to come back was forgotten with the attempt. Since an
-// engine that turns all away is empty, its agent offered the shortest wait, and
-// more of the work went there from second to second.
-TEST_CASE("a server that asks for rest gets nothing until it is over",
+// A server that rejects all new requests reports a backoff. It was once kept
+// with the attempt only and lost with it: while four of twelve engines asked
+// for three seconds, one entry sent five and six more requests to one of them.
+// An engine that rejects everything is idle, so that its agent estimated the
+// shortest wait and received a growing share of the load.
+TEST_CASE("a server that asks for a backoff gets no request until it is over",
           "[server-rest]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -327,7 +331,7 @@
       it.runFor(10s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
       CHECK(sentIntoRest(it.Fleet) == 0);
-      // The others do the work, and the four are used again.
+      // The other servers take the load, and the four are used again later.
       CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 95 / 100);
       std::size_t again = 0;
       for (std::uint32_t i = 2; i < 6; ++i)
@@ -336,7 +340,7 @@
     }
 }
 
-TEST_CASE("when all servers of a service rest, callers are told so at once",
+TEST_CASE("callers are refused at once while all servers of a service back off",
           "[server-rest]") {
   for (const bool engines : {true, false}) {
     ForwardFleetOptions options = fleetOf(1, engines);
@@ -360,10 +364,10 @@
   }
 }
 
-// A server may say that it leaves in its answers before its registration does,
-// or without it ever doing so. Found by reading, with the two above: the header
-// went on to the caller and nobody else.
-TEST_CASE("a server that says that it leaves gets no further requests",
+// A server may announce in its answers that it is leaving before its
+// registration says so, or without the registration ever saying so. The header
+// was once passed on to the caller only.
+TEST_CASE("a server that announces that it is leaving gets no more requests",
           "[server-leaving]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -372,7 +376,8 @@
       for (std::uint32_t i = 2; i < 5; ++i)
         it.Fleet.setAsks(i, {.Leaving = true});
       it.runFor(10s);
-      // Its registrations still say otherwise; only another process is used.
+      // Its registrations don't say that it leaves, and its answers no longer
+      // do; it must still get no request until another process replaces it.
       for (std::uint32_t i = 2; i < 5; ++i)
         it.Fleet.setAsks(i, {});
       it.runFor(5s);
@@ -385,21 +390,21 @@
     }
 }
 
-// An entry that stands still for less than a second isn't noticed to have
-// slept, and uses at once what it was permitted meanwhile.
-TEST_CASE("a limit is kept when an entry stands still for under a second",
+// A pause of an entry of less than a second isn't detected as a suspension, and
+// the entry sends at once all requests that were permitted during the pause.
+TEST_CASE("a limit holds when an entry is paused for less than a second",
           "[limit-short-stops]") {
   for (const std::uint64_t seed : {8039U, 10537U})
     checkSchedules(playSchedule, seed, seed);
 }
 
-// To be run by hand; --rng-seed says where it begins.
-TEST_CASE("a limit is kept on many schedules", "[.limit-schedules]") {
+// Run manually; --rng-seed sets the first seed.
+TEST_CASE("a limit holds on many schedules", "[.limit-schedules]") {
   const std::uint64_t first = Catch::rngSeed();
   checkSchedules(playSchedule, first, first + 1249);
 }
 
-TEST_CASE("figures of limits and rests", "[.figures]") {
+TEST_CASE("measurements of limits and backoffs", "[.figures]") {
   for (const bool engines : {true, false})
     for (const std::uint32_t entries : {4U, 28U})
       for (const char *what : {"nothing", "limits", "rests"})
@@ -432,8 +437,9 @@
                 know.emplace(server, told.Entry);
           }
           std::printf(
-              "%s, %u entries, %s, seed %d: %zu reached the four, most "
-              "in 4 s %zu, told %zu of %u, answered %.3f\n",
+              "%s, %u entries, %s, seed %d: arrivals at the four servers "
+              "%zu, maximum in 4 s %zu, feedback received by %zu of %u, "
+              "answered %.3f\n",
               engines ? "engines" : "plain", entries, what,
               static_cast<int>(seed), arrived, most, know.size(), 4 * entries,
               static_cast<double>(it.Answered - answered) / (it.Sent - sent));
