--- a/test/EvacuationFleetTest.cpp
+++ b/test/EvacuationFleetTest.cpp
@@ -19,7 +19,7 @@
 /// everywhere.
 constexpr Duration EvacuationBound = 5s;
 /// Maximum time for which an operator resends an order.
-constexpr Duration OperatorPatience = 5s;
+constexpr Duration OrderResendTime = 5s;
 /// A cold server gets at most ColdPerSecond * ColdOvershoot + ColdSlack
 /// requests in any second.
 constexpr double ColdPerSecond = 2;
@@ -39,7 +39,7 @@
   bool Engines = false;
   double RequestsPerSecond = 60;
   /// Share of the acknowledgements that are lost.
-  double AcknowledgementsLost = 0;
+  double LostAcknowledgementShare = 0;
   std::uint32_t Servers = 12;
   std::uint32_t Entries = 4;
 };
@@ -55,7 +55,7 @@
                .Zones = 3,
                .ColdPerSecond = ColdPerSecond,
                .EvacuationBound = EvacuationBound}),
-        Options(options), Chance(options.Seed + 1) {
+        Options(options), Rng(options.Seed + 1) {
     Fleet.runFor(5s);
   }
 
@@ -63,12 +63,12 @@
     const TimePoint end = Fleet.now() + time;
     while (Fleet.now() < end) {
       send();
-      Fleet.runFor(Chance.jitter(fromSeconds(1 / Options.RequestsPerSecond)));
+      Fleet.runFor(Rng.jitter(fromSeconds(1 / Options.RequestsPerSecond)));
     }
   }
 
   /// Starts an order and resends it until it is acknowledged or
-  /// OperatorPatience is over.
+  /// OrderResendTime is over.
   std::shared_ptr<Order> order(const ZoneName &zone, bool evacuate) {
     const auto order = std::make_shared<Order>(
         Order{.Zone = zone, .Evacuate = evacuate, .SentAt = Fleet.now()});
@@ -86,7 +86,7 @@
   }
 
   /// \returns the maximum number of requests to one cold server in any second.
-  std::size_t mostWhileCold() const {
+  std::size_t maxWhileCold() const {
     std::map<HostName, std::vector<TimePoint>> cold;
     for (const ServerArrival &it : Fleet.arrivals())
       if (it.Cold)
@@ -106,25 +106,26 @@
         leader->Replica->state().configuration().findZone(zone);
     return it && it->Evacuated;
   }
-  /// \returns the number of changes to the configuration; 0 without a leader.
-  Revision changes() {
+  /// \returns the revision of the configuration, which each change increments;
+  /// 0 without a leader.
+  Revision configurationRevision() {
     WorldProcess *leader = Fleet.world().leader();
     return leader ? leader->Replica->state().configuration().revision() : 0;
   }
 
   ForwardFleet Fleet;
   ZoneFleetOptions Options;
-  Random Chance;
+  Random Rng;
   int Sent = 0;
   int Answered = 0;
 
 private:
   void send() {
-    const double x = Chance.uniform();
+    const double x = Rng.uniform();
     const std::string adapter =
         "a" + std::to_string(static_cast<int>(x * x * 40));
     const auto entry =
-        static_cast<std::uint32_t>(Chance.uniform() * Options.Entries);
+        static_cast<std::uint32_t>(Rng.uniform() * Options.Entries);
     ++Sent;
     Fleet.call(
         Fleet.entry(entry), "request-" + std::to_string(Sent),
@@ -135,25 +136,23 @@
   }
 
   void sendOrder(const std::shared_ptr<Order> &order) {
-    if (order->AcknowledgedAt ||
-        Fleet.now() >= order->SentAt + OperatorPatience)
+    if (order->AcknowledgedAt || Fleet.now() >= order->SentAt + OrderResendTime)
       return;
     // One in five calls is delayed for most of a call's maximum duration.
-    const Duration way = Chance.uniform() < 0.2 ? Chance.jitter(500ms) : 2ms;
-    Fleet.world().after(way, [this, order] { reachReplica(order); });
-    Fleet.world().after(Chance.jitter(700ms),
-                        [this, order] { sendOrder(order); });
+    const Duration delay = Rng.uniform() < 0.2 ? Rng.jitter(500ms) : 2ms;
+    Fleet.world().after(delay, [this, order] { deliverOrder(order); });
+    Fleet.world().after(Rng.jitter(700ms), [this, order] { sendOrder(order); });
   }
 
   /// Only the leader accepts orders; the other replicas redirect to it.
-  void reachReplica(const std::shared_ptr<Order> &order) {
+  void deliverOrder(const std::shared_ptr<Order> &order) {
     WorldProcess *leader = Fleet.world().leader();
     if (!leader || leader->Frozen || !leader->Alive)
       return;
     leader->Replica->orderEvacuation(
         Fleet.now(), {order->Zone, order->Evacuate},
         [this, order](const std::optional<CommandOutcome> &outcome) {
-          if (!outcome || Chance.uniform() < Options.AcknowledgementsLost)
+          if (!outcome || Rng.uniform() < Options.LostAcknowledgementShare)
             return;
           REQUIRE(outcome->Result == CommandResult::Accepted);
           if (!order->AcknowledgedAt)
@@ -162,7 +161,7 @@
   }
 };
 
-const ZoneName First("zone-0");
+const ZoneName FirstZone("zone-0");
 
 } // namespace
 
@@ -174,22 +173,23 @@
       it.runFor(5s);
       const int sentBefore = it.Sent;
       const int answeredBefore = it.Answered;
-      const auto away = it.order(First, /*evacuate=*/true);
+      const auto away = it.order(FirstZone, /*evacuate=*/true);
       it.runFor(10s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
       REQUIRE(away->AcknowledgedAt);
       const TimePoint until = it.Fleet.now();
-      CHECK(it.arrivalsIn(First, *away->AcknowledgedAt + 500ms, until) == 0);
+      CHECK(it.arrivalsIn(FirstZone, *away->AcknowledgedAt + 500ms, until) ==
+            0);
       // The other two zones take its load.
       CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 90 / 100);
       for (std::uint32_t i = 0; i < 12; i += 3)
         it.Fleet.chillServer(i);
-      const auto back = it.order(First, /*evacuate=*/false);
+      const auto back = it.order(FirstZone, /*evacuate=*/false);
       it.runFor(10s);
       REQUIRE(back->AcknowledgedAt);
-      CHECK(static_cast<double>(it.mostWhileCold()) <=
+      CHECK(static_cast<double>(it.maxWhileCold()) <=
             ColdPerSecond * ColdOvershoot + ColdSlack);
-      CHECK(it.arrivalsIn(First, until + 5s, it.Fleet.now()) > 20);
+      CHECK(it.arrivalsIn(FirstZone, until + 5s, it.Fleet.now()) > 20);
     }
 }
 
@@ -202,38 +202,38 @@
         it.Fleet.crashServer(i);
       it.runFor(15s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
-      CHECK(static_cast<double>(it.mostWhileCold()) <=
+      CHECK(static_cast<double>(it.maxWhileCold()) <=
             ColdPerSecond * ColdOvershoot + ColdSlack);
-      CHECK(it.arrivalsIn(First, it.Fleet.now() - 5s, it.Fleet.now()) > 20);
+      CHECK(it.arrivalsIn(FirstZone, it.Fleet.now() - 5s, it.Fleet.now()) > 20);
     }
 }
 
 TEST_CASE("a late resend doesn't undo an opposite order", "[evacuation]") {
-  ZoneFleet it({.RequestsPerSecond = 5, .AcknowledgementsLost = 1});
+  ZoneFleet it({.RequestsPerSecond = 5, .LostAcknowledgementShare = 1});
   // After this time no order that an earlier leader accepted can be resent.
   it.runFor(5s);
-  const Revision before = it.changes();
+  const Revision before = it.configurationRevision();
   // Never acknowledged, and therefore resent for five seconds.
-  const auto away = it.order(First, /*evacuate=*/true);
+  const auto away = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
-  REQUIRE(it.isEvacuated(First) == true);
-  it.Options.AcknowledgementsLost = 0;
-  const auto back = it.order(First, /*evacuate=*/false);
+  REQUIRE(it.isEvacuated(FirstZone) == true);
+  it.Options.LostAcknowledgementShare = 0;
+  const auto back = it.order(FirstZone, /*evacuate=*/false);
   it.runFor(100ms);
   REQUIRE(back->AcknowledgedAt);
   it.runFor(8s);
-  CHECK(it.isEvacuated(First) == false);
-  CHECK(it.changes() == before + 2);
+  CHECK(it.isEvacuated(FirstZone) == false);
+  CHECK(it.configurationRevision() == before + 2);
   // A new order is accepted, since no resend can arrive any more.
-  const auto again = it.order(First, /*evacuate=*/true);
+  const auto again = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
   CHECK(again->AcknowledgedAt);
-  CHECK(it.isEvacuated(First) == true);
+  CHECK(it.isEvacuated(FirstZone) == true);
 }
 
 TEST_CASE("an evacuation survives a restart of all processes", "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 20});
-  const auto away = it.order(First, /*evacuate=*/true);
+  const auto away = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
   REQUIRE(away->AcknowledgedAt);
   World &world = it.Fleet.world();
@@ -243,8 +243,8 @@
     world.start(*process);
   const TimePoint began = it.Fleet.now();
   it.runFor(10s);
-  CHECK(it.isEvacuated(First) == true);
-  CHECK(it.arrivalsIn(First, began, it.Fleet.now()) == 0);
+  CHECK(it.isEvacuated(FirstZone) == true);
+  CHECK(it.arrivalsIn(FirstZone, began, it.Fleet.now()) == 0);
 }
 
 TEST_CASE(
@@ -256,10 +256,10 @@
   World &world = it.Fleet.world();
   it.Fleet.cutOffReplicas(it.Fleet.entry(0).Spec.Host);
   world.freezeFor(it.Fleet.entry(1), 8s);
-  const auto away = it.order(First, /*evacuate=*/true);
+  const auto away = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(12s);
   REQUIRE(away->AcknowledgedAt);
-  CHECK(it.arrivalsIn(First, *away->AcknowledgedAt + EvacuationBound,
+  CHECK(it.arrivalsIn(FirstZone, *away->AcknowledgedAt + EvacuationBound,
                       it.Fleet.now()) == 0);
   std::optional<CallerAnswer> answer;
   it.Fleet.call(it.Fleet.entry(0), "late",
@@ -276,7 +276,7 @@
 /// are paused and are cut off, acknowledgements are lost and resends are late.
 /// \returns a description of each violation and the schedule; empty if there
 /// was none.
-std::string playSchedule(std::uint64_t seed) {
+std::string runSchedule(std::uint64_t seed) {
   Random chance(seed);
   const auto draw = [&](std::uint64_t n) {
     return static_cast<std::uint32_t>(chance.next() % n);
@@ -285,17 +285,17 @@
   ZoneFleet it({.Seed = seed,
                 .Engines = engines,
                 .RequestsPerSecond = 10.0 + draw(60),
-                .AcknowledgementsLost = draw(3) * 0.4,
+                .LostAcknowledgementShare = draw(3) * 0.4,
                 .Servers = 3 + draw(8),
                 .Entries = 2 + draw(4)});
   World &world = it.Fleet.world();
-  std::string story;
-  const auto tell = [&](const std::string &what) {
-    story += "; " +
-             std::to_string(toSeconds(it.Fleet.now().time_since_epoch())) +
-             " " + what;
+  std::string schedule;
+  const auto recordStep = [&](const std::string &what) {
+    schedule += "; " +
+                std::to_string(toSeconds(it.Fleet.now().time_since_epoch())) +
+                " " + what;
   };
-  const auto strike = [&] {
+  const auto injectFault = [&] {
     WorldProcess *process = &it.Fleet.entry(draw(it.Options.Entries));
     const std::uint32_t kind = draw(6);
     if (kind == 1 && engines)
@@ -303,17 +303,17 @@
     if (kind == 2)
       process = world.leader();
     if (kind == 5) {
-      tell("crash of a server");
+      recordStep("crash of a server");
       return it.Fleet.crashServer(draw(it.Options.Servers));
     }
     if (!process || !process->Alive || process->Frozen)
       return;
     const Duration away = (200 + draw(6000)) * 1ms;
     const HostName host = process->Spec.Host;
-    tell((kind == 3   ? "freeze "
-          : kind == 4 ? "cut off "
-                      : "kill ") +
-         host.str() + " for " + std::to_string(toSeconds(away)));
+    recordStep((kind == 3   ? "freeze "
+                : kind == 4 ? "cut off "
+                            : "kill ") +
+               host.str() + " for " + std::to_string(toSeconds(away)));
     if (kind == 3)
       return world.freezeFor(*process, away);
     if (kind == 4) {
@@ -325,15 +325,15 @@
   const auto run = [&](std::uint32_t seconds) {
     for (std::uint32_t i = 0; i < seconds; ++i) {
       if (draw(3) == 0)
-        strike();
+        injectFault();
       it.runFor(1s);
     }
   };
-  std::string broken;
+  std::string violations;
   it.runFor(2s);
-  const Revision before = it.changes();
-  const auto away = it.order(First, /*evacuate=*/true);
-  tell("evacuate");
+  const Revision before = it.configurationRevision();
+  const auto away = it.order(FirstZone, /*evacuate=*/true);
+  recordStep("evacuate");
   run(3 + draw(9));
   // The restore order may be in force from the moment it is sent.
   const TimePoint ended = it.Fleet.now();
@@ -344,45 +344,46 @@
   for (std::uint32_t i = 0; empty && i < it.Options.Servers; i += 3)
     if (draw(2) == 0)
       it.Fleet.chillServer(i);
-  const auto back = it.order(First, /*evacuate=*/false);
-  tell("restore");
+  const auto back = it.order(FirstZone, /*evacuate=*/false);
+  recordStep("restore");
   run(8);
   it.runFor(6s);
   const auto add = [&](const std::string &what) {
-    broken += (engines ? " engines: " : " plain: ") + what;
+    violations += (engines ? " engines: " : " plain: ") + what;
   };
   if (away->AcknowledgedAt) {
-    const std::size_t sent =
-        it.arrivalsIn(First, *away->AcknowledgedAt + EvacuationBound, ended);
+    const std::size_t sent = it.arrivalsIn(
+        FirstZone, *away->AcknowledgedAt + EvacuationBound, ended);
     if (sent > 0)
       add(std::to_string(sent) + " requests to an evacuated zone");
   }
   // The evacuation was acknowledged before the restore order was sent, so that
   // the zone must not be evacuated now.
   if (back->AcknowledgedAt && away->AcknowledgedAt &&
-      *away->AcknowledgedAt < ended && it.isEvacuated(First) == true)
+      *away->AcknowledgedAt < ended && it.isEvacuated(FirstZone) == true)
     add("the zone is evacuated again after its restore");
   if (away->AcknowledgedAt && !back->AcknowledgedAt &&
-      it.isEvacuated(First) == false && it.changes() != before + 2)
+      it.isEvacuated(FirstZone) == false &&
+      it.configurationRevision() != before + 2)
     add("an acknowledged evacuation was lost");
-  if (it.changes() > before + 2)
+  if (it.configurationRevision() > before + 2)
     add("an order was executed twice");
-  const auto most = static_cast<double>(it.mostWhileCold());
+  const auto most = static_cast<double>(it.maxWhileCold());
   if (most > ColdPerSecond * ColdOvershoot + ColdSlack)
     add(std::to_string(most) + " requests in a second to a cold server");
-  return broken.empty() ? broken : broken + story;
+  return violations.empty() ? violations : violations + schedule;
 }
 
 } // namespace
 
 TEST_CASE("evacuations and limits of cold servers hold while processes fail",
           "[evacuation]") {
-  checkSchedules(playSchedule, 1, 60);
+  checkSchedules(runSchedule, 1, 60);
 }
 
 // Run manually; --rng-seed sets the first seed.
 TEST_CASE("evacuations and limits of cold servers hold on many schedules",
           "[.evacuation-schedules]") {
   const std::uint64_t first = Catch::rngSeed();
-  checkSchedules(playSchedule, first, first + 1249);
+  checkSchedules(runSchedule, first, first + 1249);
 }
--- a/test/QuarantineFleetTest.cpp
+++ b/test/QuarantineFleetTest.cpp
@@ -18,9 +18,9 @@
 
 /// Time after the third crash within which the quarantine must be in force at
 /// all entries; only requests that reach a server later count as late.
-constexpr Duration InForceWithin = 3s;
+constexpr Duration QuarantineDelayBound = 3s;
 
-std::vector<std::string> deadlyRequests(std::size_t n) {
+std::vector<std::string> crashingRequests(std::size_t n) {
   std::vector<std::string> result;
   result.reserve(n);
   for (std::size_t i = 0; i < n; ++i)
@@ -31,68 +31,68 @@
 /// A fleet under load, with counters of its callers' outcomes.
 struct LoadedFleet {
   explicit LoadedFleet(const ForwardFleetOptions &options)
-      : Fleet(options), Chance(options.World.Seed + 1) {
+      : Fleet(options), Rng(options.World.Seed + 1) {
     Fleet.runFor(5s);
   }
 
   WorldProcess &anyEntry() {
     const auto n = static_cast<double>(Entries);
-    return Fleet.entry(static_cast<std::uint32_t>(Chance.uniform() * n));
+    return Fleet.entry(static_cast<std::uint32_t>(Rng.uniform() * n));
   }
 
   /// Sends a request with a content of its own; the caller retries once when it
   /// gets no answer. run() sends about 40 of them per second.
   void send() {
-    const std::string content = "ordinary-" + std::to_string(++Ordinary);
+    const std::string content = "ordinary-" + std::to_string(++OtherRequests);
     Fleet.call(anyEntry(), content, [this, content](const CallerAnswer &it) {
       if (it.Whole && it.Stamped)
         return void(++Answered);
-      note(it);
+      recordRefusal(it);
       Fleet.call(anyEntry(), content, [this](const CallerAnswer &again) {
         if (again.Whole && again.Stamped)
           return void(++Answered);
-        note(again);
-        ++Lost;
+        recordRefusal(again);
+        ++Unanswered;
       });
     });
   }
-  void note(const CallerAnswer &answer) {
+  void recordRefusal(const CallerAnswer &answer) {
     if (answer.Body == "quarantined\n")
-      ++Innocents;
+      ++WronglyQuarantined;
   }
 
-  /// Sends load for \p load and resends each of \p deadly every 300 ms.
-  void run(Duration load, const std::vector<std::string> &deadly) {
-    for (const std::string &it : deadly)
+  /// Sends load for \p load and resends each of \p crashing every 300 ms.
+  void run(Duration load, const std::vector<std::string> &crashing) {
+    for (const std::string &it : crashing)
       Fleet.addDeadly(it);
     const TimePoint end = Fleet.now() + load;
-    TimePoint nextDeadly = Fleet.now() + 1s;
+    TimePoint nextCrashing = Fleet.now() + 1s;
     while (Fleet.now() < end) {
       send();
-      if (!deadly.empty() && Fleet.now() >= nextDeadly) {
-        nextDeadly = Fleet.now() + 300ms;
-        for (const std::string &it : deadly)
+      if (!crashing.empty() && Fleet.now() >= nextCrashing) {
+        nextCrashing = Fleet.now() + 300ms;
+        for (const std::string &it : crashing)
           Fleet.call(anyEntry(), it);
       }
-      Fleet.runFor(Chance.jitter(17ms));
+      Fleet.runFor(Rng.jitter(17ms));
     }
     Fleet.runFor(8s);
   }
 
-  std::vector<TimePoint> endsBy(const std::string &content) const {
-    std::vector<TimePoint> ends;
+  std::vector<TimePoint> crashesCausedBy(const std::string &content) const {
+    std::vector<TimePoint> times;
     for (const ServerCrash &it : Fleet.crashes())
       if (it.Content == content)
-        ends.push_back(it.At);
-    return ends;
+        times.push_back(it.At);
+    return times;
   }
-  /// \returns how often the request reached a server more than InForceWithin
-  /// after its third crash.
-  int sendsTooLate(const std::string &content) const {
-    const std::vector<TimePoint> ends = endsBy(content);
-    if (ends.size() < 3)
+  /// \returns how often the request reached a server more than
+  /// QuarantineDelayBound after its third crash.
+  int lateArrivals(const std::string &content) const {
+    const std::vector<TimePoint> times = crashesCausedBy(content);
+    if (times.size() < 3)
       return 0;
-    const TimePoint known = ends[2] + InForceWithin;
+    const TimePoint known = times[2] + QuarantineDelayBound;
     return static_cast<int>(
         std::ranges::count_if(Fleet.arrivals(), [&](const ServerArrival &it) {
           return it.Content == content && it.At > known;
@@ -100,12 +100,12 @@
   }
 
   ForwardFleet Fleet;
-  Random Chance;
+  Random Rng;
   std::uint32_t Entries = 4;
-  int Ordinary = 0;
+  int OtherRequests = 0;
   int Answered = 0;
-  int Lost = 0;
-  int Innocents = 0;
+  int Unanswered = 0;
+  int WronglyQuarantined = 0;
 };
 
 } // namespace
@@ -115,25 +115,26 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     it.run(20s, {"deadly"});
-    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " crashes");
-    CHECK(it.sendsTooLate("deadly") <= 3);
-    CHECK(it.endsBy("deadly").size() <= 8);
-    CHECK(it.Innocents == 0);
+    INFO("seed " << seed << ", " << it.crashesCausedBy("deadly").size()
+                 << " crashes");
+    CHECK(it.lateArrivals("deadly") <= 3);
+    CHECK(it.crashesCausedBy("deadly").size() <= 8);
+    CHECK(it.WronglyQuarantined == 0);
   }
 }
 
 TEST_CASE("ten crashing requests at once put no other request in quarantine",
           "[quarantine]") {
-  const std::vector<std::string> deadly = deadlyRequests(10);
+  const std::vector<std::string> crashing = crashingRequests(10);
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
-    it.run(20s, deadly);
-    INFO("seed " << seed << ", unanswered " << it.Lost << " of "
-                 << it.Ordinary);
-    CHECK(it.Innocents == 0);
-    for (const std::string &content : deadly) {
-      CHECK(it.sendsTooLate(content) <= 3);
-      CHECK(it.endsBy(content).size() <= 8);
+    it.run(20s, crashing);
+    INFO("seed " << seed << ", unanswered " << it.Unanswered << " of "
+                 << it.OtherRequests);
+    CHECK(it.WronglyQuarantined == 0);
+    for (const std::string &content : crashing) {
+      CHECK(it.lateArrivals(content) <= 3);
+      CHECK(it.crashesCausedBy(content).size() <= 8);
     }
   }
 }
@@ -152,8 +153,8 @@
       });
     it.run(20s, {});
     INFO("seed " << seed);
-    CHECK(it.Innocents == 0);
-    CHECK(it.Answered > it.Ordinary / 2);
+    CHECK(it.WronglyQuarantined == 0);
+    CHECK(it.Answered > it.OtherRequests / 2);
   }
 }
 
@@ -162,52 +163,54 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     World &world = it.Fleet.world();
-    const auto during = [&](Duration at, std::function<void()> action) {
+    const auto scheduleAt = [&](Duration at, std::function<void()> action) {
       world.after(at, std::move(action));
     };
     // The leader is killed while the first crashes are being reported; one
     // entry restarts; another is paused for three seconds; then all replicas
     // restart.
-    during(1500ms, [&] {
+    scheduleAt(1500ms, [&] {
       if (WorldProcess *leader = world.leader()) {
         world.kill(*leader);
         world.after(2s, [&world, leader] { world.start(*leader); });
       }
     });
-    during(5s, [&] { world.kill(it.Fleet.entry(1)); });
-    during(6s, [&] { world.start(it.Fleet.entry(1)); });
-    during(7s, [&] { world.freeze(it.Fleet.entry(2)); });
-    during(10s, [&] { world.wake(it.Fleet.entry(2)); });
-    during(12s, [&] {
+    scheduleAt(5s, [&] { world.kill(it.Fleet.entry(1)); });
+    scheduleAt(6s, [&] { world.start(it.Fleet.entry(1)); });
+    scheduleAt(7s, [&] { world.freeze(it.Fleet.entry(2)); });
+    scheduleAt(10s, [&] { world.wake(it.Fleet.entry(2)); });
+    scheduleAt(12s, [&] {
       for (std::uint32_t i = 0; i < 3; ++i) {
         world.kill(it.Fleet.replica(i));
         world.after(500ms, [&, i] { world.start(it.Fleet.replica(i)); });
       }
     });
     it.run(20s, {"deadly"});
-    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " crashes");
-    CHECK(it.sendsTooLate("deadly") <= 3);
-    CHECK(it.endsBy("deadly").size() <= 10);
-    CHECK(it.Innocents == 0);
+    INFO("seed " << seed << ", " << it.crashesCausedBy("deadly").size()
+                 << " crashes");
+    CHECK(it.lateArrivals("deadly") <= 3);
+    CHECK(it.crashesCausedBy("deadly").size() <= 10);
+    CHECK(it.WronglyQuarantined == 0);
   }
 }
 
 TEST_CASE("measurements of the quarantine", "[.figures]") {
   for (const std::size_t n : {0U, 1U, 3U, 10U})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      const std::vector<std::string> deadly = deadlyRequests(n);
+      const std::vector<std::string> crashing = crashingRequests(n);
       LoadedFleet it({.World = {.Seed = seed}});
-      it.run(20s, deadly);
-      std::string ends;
+      it.run(20s, crashing);
+      std::string counts;
       int late = 0;
-      for (const std::string &content : deadly) {
-        ends += " " + std::to_string(it.endsBy(content).size());
-        late += it.sendsTooLate(content);
+      for (const std::string &content : crashing) {
+        counts += " " + std::to_string(it.crashesCausedBy(content).size());
+        late += it.lateArrivals(content);
       }
       std::printf("crashing requests %zu, seed %d: crashes%s, late sends %d, "
                   "wrongly quarantined %d, other requests %d, answered %d, "
                   "unanswered %d\n",
-                  n, static_cast<int>(seed), ends.c_str(), late, it.Innocents,
-                  it.Ordinary, it.Answered, it.Lost);
+                  n, static_cast<int>(seed), counts.c_str(), late,
+                  it.WronglyQuarantined, it.OtherRequests, it.Answered,
+                  it.Unanswered);
     }
 }
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -23,9 +23,9 @@
 /// A limit holds over every period of this length.
 constexpr Duration Window = 4s;
 /// A limit is checked from this time after it was first reported.
-constexpr Duration StableTime = 3s;
+constexpr Duration SettleTime = 3s;
 /// An entry must obey a limit from this time after it received it.
-constexpr Duration ToldFor = 500ms;
+constexpr Duration ObeyDelay = 500ms;
 /// Requests above the limit that all entries together may send at once.
 constexpr double Burst = 2;
 
@@ -35,20 +35,20 @@
 };
 
 /// A fleet under load; checks use the arrivals that its servers count.
-struct AskingFleet {
-  AskingFleet(const ForwardFleetOptions &options, const FleetLoad &load)
-      : Fleet(options), Chance(options.World.Seed + 1), Load(load),
+struct LimitedFleet {
+  LimitedFleet(const ForwardFleetOptions &options, const FleetLoad &load)
+      : Fleet(options), Rng(options.World.Seed + 1), Load(load),
         Entries(options.Entries) {
     Fleet.runFor(5s);
   }
 
   WorldProcess &anyEntry() {
-    return Fleet.entry(static_cast<std::uint32_t>(Chance.uniform() * Entries));
+    return Fleet.entry(static_cast<std::uint32_t>(Rng.uniform() * Entries));
   }
 
   /// Draws an adapter; adapters with low numbers are the most popular.
   std::string anyAdapter() {
-    const double x = Chance.uniform();
+    const double x = Rng.uniform();
     return "a" + std::to_string(static_cast<int>(x * x * Load.Adapters));
   }
 
@@ -59,17 +59,18 @@
     Fleet.call(
         anyEntry(), content,
         [this, content, adapter](const CallerAnswer &it) {
-          if (note(it))
+          if (recordAnswer(it))
             return;
           Fleet.world().after(500ms, [this, content, adapter] {
             Fleet.call(
                 anyEntry(), content,
-                [this](const CallerAnswer &again) { note(again); }, adapter);
+                [this](const CallerAnswer &again) { recordAnswer(again); },
+                adapter);
           });
         },
         adapter);
   }
-  bool note(const CallerAnswer &answer) {
+  bool recordAnswer(const CallerAnswer &answer) {
     const bool answered = answer.Whole && answer.Stamped;
     Answered += answered ? 1 : 0;
     return answered;
@@ -79,25 +80,25 @@
     const TimePoint end = Fleet.now() + time;
     while (Fleet.now() < end) {
       send();
-      Fleet.runFor(Chance.jitter(fromSeconds(1 / Load.PerSecond)));
+      Fleet.runFor(Rng.jitter(fromSeconds(1 / Load.PerSecond)));
     }
   }
 
   /// \returns the maximum number of requests that reached \p server within any
   /// Window up to \p until, while it reported a limit from \p since on. Only
   /// requests of entries that had received the limit count.
-  std::size_t mostInWindow(const HostName &server, TimePoint since,
-                           TimePoint until) const {
+  std::size_t maxInWindow(const HostName &server, TimePoint since,
+                          TimePoint until) const {
     std::vector<TimePoint> counted;
-    std::map<EntryProcess, TimePoint> firstTold;
+    std::map<EntryProcess, TimePoint> firstReceived;
     for (const FeedbackTold &it : Fleet.told())
       if (it.Server == server && it.At >= since)
-        firstTold.try_emplace(it.Entry, it.At);
+        firstReceived.try_emplace(it.Entry, it.At);
     for (const ServerArrival &it : Fleet.arrivals()) {
-      const auto told = firstTold.find(it.Entry);
-      if (it.Server == server && it.At >= since + StableTime &&
-          it.At <= until && told != firstTold.end() &&
-          it.At >= told->second + ToldFor)
+      const auto told = firstReceived.find(it.Entry);
+      if (it.Server == server && it.At >= since + SettleTime &&
+          it.At <= until && told != firstReceived.end() &&
+          it.At >= told->second + ObeyDelay)
         counted.push_back(it.At);
     }
     return mostWithin(counted, Window);
@@ -112,7 +113,7 @@
   }
 
   ForwardFleet Fleet;
-  Random Chance;
+  Random Rng;
   FleetLoad Load;
   std::uint32_t Entries;
   int Sent = 0;
@@ -120,16 +121,16 @@
 };
 
 /// \returns the maximum number of requests that may arrive within Window.
-double bound(double limit) { return limit * toSeconds(Window) + Burst; }
+double maxArrivals(double limit) { return limit * toSeconds(Window) + Burst; }
 
-ForwardFleetOptions fleetOf(std::uint64_t seed, bool engines) {
+ForwardFleetOptions fleetOptions(std::uint64_t seed, bool engines) {
   return {.World = {.Seed = seed, .Store = {.LoadsPerSecond = 40}},
           .Engines = engines};
 }
 
 /// Two of twelve servers report limits for 30 seconds.
 void checkTwoLimits(std::uint64_t seed, bool engines) {
-  AskingFleet it(fleetOf(seed, engines), {});
+  LimitedFleet it(fleetOptions(seed, engines), {});
   it.runFor(10s);
   const int sentBefore = it.Sent;
   const int answeredBefore = it.Answered;
@@ -141,8 +142,8 @@
   INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
   const HostName first = it.Fleet.serverName(3);
   const HostName second = it.Fleet.serverName(7);
-  CHECK(it.mostInWindow(first, since, until) <= bound(1.2));
-  CHECK(it.mostInWindow(second, since, until) <= bound(1.0));
+  CHECK(it.maxInWindow(first, since, until) <= maxArrivals(1.2));
+  CHECK(it.maxInWindow(second, since, until) <= maxArrivals(1.0));
   // Both servers still serve, and the other servers take the remaining load.
   CHECK(it.arrivalsAt(first, since, until) >= 10);
   CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 95 / 100);
@@ -166,9 +167,9 @@
           "[server-limit]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      ForwardFleetOptions options = fleetOf(seed, engines);
+      ForwardFleetOptions options = fleetOptions(seed, engines);
       options.Servers = 4;
-      AskingFleet it(options, {.Adapters = 8});
+      LimitedFleet it(options, {.Adapters = 8});
       it.runFor(10s);
       for (std::uint32_t i = 0; i < 4; ++i)
         it.Fleet.setAsks(i, {.Limit = 1 + i});
@@ -181,8 +182,8 @@
         const HostName server = it.Fleet.serverName(i);
         used +=
             static_cast<double>(it.arrivalsAt(server, since, it.Fleet.now()));
-        CHECK(it.mostInWindow(server, since - 5s, it.Fleet.now()) <=
-              bound(1 + i));
+        CHECK(it.maxInWindow(server, since - 5s, it.Fleet.now()) <=
+              maxArrivals(1 + i));
       }
       CHECK(used >= 0.9 * 10 * 30);
     }
@@ -190,13 +191,13 @@
 
 TEST_CASE("the end of a limit of zero is detected", "[server-limit]") {
   for (const bool engines : {true, false}) {
-    AskingFleet it(fleetOf(1, engines), {});
+    LimitedFleet it(fleetOptions(1, engines), {});
     it.runFor(10s);
     const HostName server = it.Fleet.serverName(2);
     const TimePoint since = it.Fleet.now();
     it.Fleet.setAsks(2, {.Limit = 0});
     it.runFor(20s);
-    CHECK(it.mostInWindow(server, since, it.Fleet.now()) <= bound(0.25));
+    CHECK(it.maxInWindow(server, since, it.Fleet.now()) <= maxArrivals(0.25));
     it.Fleet.setAsks(2, {});
     it.runFor(10s);
     const TimePoint ended = it.Fleet.now();
@@ -211,22 +212,22 @@
 /// Runs a random schedule in which limits begin, fall, rise and end while
 /// entries, agents and the leader restart or are paused.
 /// \returns a description of each limit that was exceeded; empty if none was.
-std::string playSchedule(std::uint64_t seed) {
+std::string runSchedule(std::uint64_t seed) {
   Random chance(seed);
   const auto draw = [&](std::uint64_t n) {
     return static_cast<std::uint32_t>(chance.next() % n);
   };
   const bool engines = draw(2) == 0;
-  ForwardFleetOptions options = fleetOf(seed, engines);
+  ForwardFleetOptions options = fleetOptions(seed, engines);
   options.Servers = 3 + draw(6);
   options.Entries = 2 + draw(5);
-  AskingFleet it(options,
-                 {.PerSecond = 10.0 + draw(50), .Adapters = 4 + draw(40)});
+  LimitedFleet it(options,
+                  {.PerSecond = 10.0 + draw(50), .Adapters = 4 + draw(40)});
   World &world = it.Fleet.world();
   const std::uint32_t limited = draw(options.Servers);
   const HostName server = it.Fleet.serverName(limited);
-  std::string strikes;
-  const auto strike = [&] {
+  std::string faults;
+  const auto injectFault = [&] {
     WorldProcess *process = &it.Fleet.entry(draw(options.Entries));
     const std::uint32_t kind = draw(4);
     if (kind == 1 && engines)
@@ -236,44 +237,45 @@
     if (!process || !process->Alive || process->Frozen)
       return;
     const Duration away = (200 + draw(3000)) * 1ms;
-    strikes += "; " +
-               std::to_string(toSeconds(it.Fleet.now().time_since_epoch())) +
-               (kind == 3 ? " freeze " : " kill ") + process->Spec.Host.str() +
-               " for " + std::to_string(toSeconds(away));
+    faults += "; " +
+              std::to_string(toSeconds(it.Fleet.now().time_since_epoch())) +
+              (kind == 3 ? " freeze " : " kill ") + process->Spec.Host.str() +
+              " for " + std::to_string(toSeconds(away));
     if (kind == 3)
       return world.freezeFor(*process, away);
     world.killFor(*process, away);
   };
   it.runFor(4s);
-  std::string broken;
+  std::string violations;
   for (int period = 0; period < 3; ++period) {
     const double limit = draw(120) / 10.0;
     const TimePoint since = it.Fleet.now();
     it.Fleet.setAsks(limited, {.Limit = limit});
     for (int i = 0; i < 8; ++i) {
       if (draw(3) == 0)
-        strike();
+        injectFault();
       it.runFor(1s);
     }
-    const std::size_t most = it.mostInWindow(server, since, it.Fleet.now());
-    const double allowed = bound(std::max(limit, 0.25));
+    const std::size_t most = it.maxInWindow(server, since, it.Fleet.now());
+    const double allowed = maxArrivals(std::max(limit, 0.25));
     if (static_cast<double>(most) > allowed)
-      broken += (engines ? " engines," : " plain,") + std::string(" limit ") +
-                std::to_string(limit) + ": " + std::to_string(most) +
-                ", allowed " + std::to_string(allowed);
+      violations += (engines ? " engines," : " plain,") +
+                    std::string(" limit ") + std::to_string(limit) + ": " +
+                    std::to_string(most) + ", allowed " +
+                    std::to_string(allowed);
     if (draw(2) == 0) {
       it.Fleet.setAsks(limited, {});
       it.runFor(3s);
     }
   }
-  return broken.empty() ? broken : broken + strikes;
+  return violations.empty() ? violations : violations + faults;
 }
 
 } // namespace
 
 TEST_CASE("a limit holds while processes restart and are paused",
           "[server-limit]") {
-  checkSchedules(playSchedule, 1, 100);
+  checkSchedules(runSchedule, 1, 100);
 }
 
 namespace {
@@ -281,9 +283,9 @@
 /// \returns the number of requests that reached a server although their entry
 /// had received feedback from it that, by \p forbids, excludes a request at
 /// that time.
-std::size_t sentAgainst(const ForwardFleet &fleet,
-                        bool (*forbids)(const FeedbackTold &word,
-                                        TimePoint at)) {
+std::size_t sentDespiteFeedback(const ForwardFleet &fleet,
+                                bool (*forbids)(const FeedbackTold &feedback,
+                                                TimePoint at)) {
   // Covers requests in flight to the server when the entry read the answer.
   constexpr Duration Latency = 2ms;
   return static_cast<std::size_t>(
@@ -295,16 +297,18 @@
       }));
 }
 
-std::size_t sentIntoRest(const ForwardFleet &fleet) {
-  return sentAgainst(fleet, [](const FeedbackTold &word, TimePoint at) {
-    return word.Asks.Rest && at < word.At + *word.Asks.Rest;
-  });
+std::size_t sentDuringBackoff(const ForwardFleet &fleet) {
+  return sentDespiteFeedback(
+      fleet, [](const FeedbackTold &feedback, TimePoint at) {
+        return feedback.Asks.Rest && at < feedback.At + *feedback.Asks.Rest;
+      });
 }
 
 std::size_t sentToLeaving(const ForwardFleet &fleet) {
-  return sentAgainst(fleet, [](const FeedbackTold &word, TimePoint) {
-    return word.Asks.Leaving;
-  });
+  return sentDespiteFeedback(fleet,
+                             [](const FeedbackTold &feedback, TimePoint) {
+                               return feedback.Asks.Leaving;
+                             });
 }
 
 } // namespace
@@ -318,7 +322,7 @@
           "[server-rest]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      AskingFleet it(fleetOf(seed, engines), {});
+      LimitedFleet it(fleetOptions(seed, engines), {});
       it.runFor(10s);
       const int sentBefore = it.Sent;
       const int answeredBefore = it.Answered;
@@ -330,7 +334,7 @@
       const TimePoint over = it.Fleet.now();
       it.runFor(10s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
-      CHECK(sentIntoRest(it.Fleet) == 0);
+      CHECK(sentDuringBackoff(it.Fleet) == 0);
       // The other servers take the load, and the four are used again later.
       CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 95 / 100);
       std::size_t again = 0;
@@ -343,14 +347,14 @@
 TEST_CASE("callers are refused at once while all servers of a service back off",
           "[server-rest]") {
   for (const bool engines : {true, false}) {
-    ForwardFleetOptions options = fleetOf(1, engines);
+    ForwardFleetOptions options = fleetOptions(1, engines);
     options.Servers = 3;
-    AskingFleet it(options, {.Adapters = 8});
+    LimitedFleet it(options, {.Adapters = 8});
     it.runFor(10s);
     for (std::uint32_t i = 0; i < 3; ++i)
       it.Fleet.setAsks(i, {.Rest = 10s});
     it.runFor(5s);
-    CHECK(sentIntoRest(it.Fleet) == 0);
+    CHECK(sentDuringBackoff(it.Fleet) == 0);
     std::optional<CallerAnswer> answer;
     const TimePoint sentAt = it.Fleet.now();
     it.Fleet.call(it.Fleet.entry(0), "late",
@@ -371,7 +375,7 @@
           "[server-leaving]") {
   for (const bool engines : {true, false})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      AskingFleet it(fleetOf(seed, engines), {});
+      LimitedFleet it(fleetOptions(seed, engines), {});
       it.runFor(10s);
       for (std::uint32_t i = 2; i < 5; ++i)
         it.Fleet.setAsks(i, {.Leaving = true});
@@ -395,13 +399,13 @@
 TEST_CASE("a limit holds when an entry is paused for less than a second",
           "[limit-short-stops]") {
   for (const std::uint64_t seed : {8039U, 10537U})
-    checkSchedules(playSchedule, seed, seed);
+    checkSchedules(runSchedule, seed, seed);
 }
 
 // Run manually; --rng-seed sets the first seed.
 TEST_CASE("a limit holds on many schedules", "[.limit-schedules]") {
   const std::uint64_t first = Catch::rngSeed();
-  checkSchedules(playSchedule, first, first + 1249);
+  checkSchedules(runSchedule, first, first + 1249);
 }
 
 TEST_CASE("measurements of limits and backoffs", "[.figures]") {
@@ -409,9 +413,9 @@
     for (const std::uint32_t entries : {4U, 28U})
       for (const char *what : {"nothing", "limits", "rests"})
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-          ForwardFleetOptions options = fleetOf(seed, engines);
+          ForwardFleetOptions options = fleetOptions(seed, engines);
           options.Entries = entries;
-          AskingFleet it(options, {});
+          LimitedFleet it(options, {});
           it.runFor(10s);
           const int sent = it.Sent;
           const int answered = it.Answered;
@@ -427,21 +431,22 @@
           const TimePoint until = it.Fleet.now();
           std::size_t most = 0;
           std::size_t arrived = 0;
-          std::set<std::pair<HostName, EntryProcess>> know;
+          std::set<std::pair<HostName, EntryProcess>> informed;
           for (std::uint32_t i = 2; i < 6; ++i) {
             const HostName server = it.Fleet.serverName(i);
             arrived += it.arrivalsAt(server, since, until);
-            most = std::max(most, it.mostInWindow(server, since, until));
+            most = std::max(most, it.maxInWindow(server, since, until));
             for (const FeedbackTold &told : it.Fleet.told())
               if (told.Server == server)
-                know.emplace(server, told.Entry);
+                informed.emplace(server, told.Entry);
           }
           std::printf(
               "%s, %u entries, %s, seed %d: arrivals at the four servers "
               "%zu, maximum in 4 s %zu, feedback received by %zu of %u, "
               "answered %.3f\n",
               engines ? "engines" : "plain", entries, what,
-              static_cast<int>(seed), arrived, most, know.size(), 4 * entries,
+              static_cast<int>(seed), arrived, most, informed.size(),
+              4 * entries,
               static_cast<double>(it.Answered - answered) / (it.Sent - sent));
         }
 }
