--- a/test/platform/FakePlatformMain.cpp
+++ b/test/platform/FakePlatformMain.cpp
@@ -1,5 +1,6 @@
-// Plays the users' platform against running processes of the system: backend
-// servers that register, an operator, callers; checks what each of them sees.
+// Simulates the users' platform for running processes of the system: backend
+// servers that register, an operator and callers. Checks the answers that each
+// of them gets.
 
 #include "FakePlatformServers.h"
 #include "TestDocument.h"
@@ -21,35 +22,36 @@
   std::string Engine2;
 };
 
-/// What a caller must see of one request.
+/// The outcome that a caller must get for one request.
 struct Expectation {
   const char *Path;
   std::vector<int> Statuses;
-  /// Empty takes any body.
+  /// An empty text accepts any body.
   std::string Body;
-  /// The most times that it may run.
+  /// Maximum number of times that the request may run.
   int MaxRuns = 1;
   bool MustBreakOff = false;
 };
 
-/// Engines are in use a little after they have registered.
+/// First request to the engines; it is retried until they serve, since they are
+/// used only some time after their registration.
 constexpr std::string_view FirstOfEngines = "/flow/stream";
 constexpr const char *DeadlyPath = "/safe/crash";
-/// Asked for again and again while both plain servers name a limit.
+/// Requested repeatedly while both plain servers report a limit.
 constexpr const char *LimitedPath = "/safe/ok";
 constexpr double LimitPerSecond = 2;
 constexpr Duration LimitedTime = std::chrono::seconds(3);
-/// Has both plain servers ask for rest.
+/// Makes each plain server ask for a backoff.
 constexpr const char *RestPath = "/safe/rest";
 /// Zone of all backend servers.
 constexpr const char *EvacuationPath = "/-/evacuation/z";
 constexpr const char *UnknownZonePath = "/-/evacuation/nowhere";
-/// Refusals in a row that show that an evacuation is in force.
+/// Number of refusals that show that an evacuation is in force.
 constexpr int EvacuatedTimes = 5;
-/// Stands for the request's own id in an expected body.
+/// Placeholder in an expected body for the request's own id.
 constexpr const char *OwnId = "<id>";
 
-/// \returns the key with which a path is asked for.
+/// \returns the caller's key to send with a request for \p path.
 const char *keyFor(std::string_view path) {
   if (path.ends_with("/unknown-key"))
     return UnknownKey;
@@ -111,7 +113,8 @@
   void onEnd(const AttemptId &, UpstreamEnding ending) override {
     if (Present != Phase::Expectations)
       return onPhaseAnswer();
-    // Until the servers are known and the document is in force everywhere.
+    // Retry until the servers are known and the document is in force
+    // everywhere.
     const bool first =
         Next == 0 ||
         std::string_view(expectations()[Next].Path) == FirstOfEngines;
@@ -205,7 +208,7 @@
         if (status != 200 || Accepted)
           return;
         Accepted = true;
-        std::puts("ok: the routing document is accepted");
+        std::puts("ok: the routing document was accepted");
         ask();
       });
   }
@@ -225,7 +228,8 @@
          0, [](int) {});
   }
 
-  /// Asks one replica after another until one takes the call itself.
+  /// Sends a call to one replica after another until one handles it without a
+  /// redirect. \p done gets its status, or 0 if none did.
   void send(const std::string &method, const std::string &path,
             const nlohmann::json &body, std::size_t at,
             const std::function<void(int)> &done) {
@@ -267,7 +271,7 @@
                   .Body = std::make_shared<const std::string>(1000, 'x')});
   }
 
-  /// Sends an operator's order until it is acknowledged.
+  /// Resends an operator's order until it is acknowledged.
   void order(const std::string &method, const std::function<void()> &done) {
     send(method, EvacuationPath, "", 0, [=, this](int status) {
       constexpr Duration Pause = std::chrono::milliseconds(200);
@@ -280,7 +284,7 @@
   void evacuate() {
     send("POST", UnknownZonePath, "", 0, [this](int status) {
       const bool good = status != 200;
-      std::printf("%s: an unknown zone isn't evacuated\n",
+      std::printf("%s: the evacuation of an unknown zone is refused\n",
                   good ? "ok" : "FAILED");
       Failures += good ? 0 : 1;
       order("POST", [this] { enter(Phase::Evacuated); });
@@ -288,7 +292,7 @@
   }
 
   /// The zone of all servers is evacuated: callers are refused at once, and no
-  /// server gets anything.
+  /// server gets a request.
   void judgeEvacuated() {
     const bool refused = Status == 503 && Body == "no_server\n";
     if (refused && ++RefusedInZone == 1)
@@ -297,7 +301,7 @@
       return askAfter(std::chrono::milliseconds(50));
     const std::size_t n =
         Plain1.arrivals(InForceSince) + Plain2.arrivals(InForceSince);
-    std::printf("%s: servers of an evacuated zone got %zu requests\n",
+    std::printf("%s: the servers of an evacuated zone received %zu requests\n",
                 n == 0 ? "ok" : "FAILED", n);
     Failures += n == 0 ? 0 : 1;
     order("DELETE", [this] { enter(Phase::Restored); });
@@ -306,12 +310,12 @@
   void judgeRestored() {
     if (Status != 200)
       return askAfter(std::chrono::milliseconds(50));
-    std::puts("ok: the zone is used again");
+    std::puts("ok: the restored zone is used again");
     enter(Phase::Deadly);
   }
 
-  /// A request that ends the servers that run it comes again and again, until
-  /// it is in quarantine, and then some times more.
+  /// A request that crashes the servers that run it is sent until it has been
+  /// refused as quarantined five times.
   void judgeDeadly() {
     Held += Body == "quarantined\n" ? 1 : 0;
     constexpr int HeldTimes = 5;
@@ -320,7 +324,7 @@
     constexpr std::uint64_t MostCrashes = 5;
     const std::uint64_t crashes = Plain1.crashes() + Plain2.crashes();
     const bool good = crashes <= MostCrashes && Status == 502;
-    std::printf("%s: %s ended %llu servers\n", good ? "ok" : "FAILED",
+    std::printf("%s: %s crashed %llu servers\n", good ? "ok" : "FAILED",
                 DeadlyPath, static_cast<unsigned long long>(crashes));
     Failures += good ? 0 : 1;
     Plain1.nameLimit(LimitPerSecond);
@@ -328,35 +332,38 @@
     enter(Phase::Limited);
   }
 
-  /// Both plain servers name a limit: the entry learns it with the first answer
-  /// of each, and asks the leader before each further send.
+  /// Both plain servers report a limit: the entry receives it with the first
+  /// answer of each, and requests a permit from the leader before each further
+  /// request.
   void judgeLimited() {
     const TimePoint now = Loop.now();
     if (now < PhaseBegan + LimitedTime)
       return askAfter(std::chrono::milliseconds(20));
     constexpr double Burst = 2;
-    // The first answers told it.
+    // One more request, since the limit is known only after the first answer.
     const auto most = static_cast<std::size_t>(
         LimitPerSecond * toSeconds(now - PhaseBegan) + Burst + 1);
     const std::size_t n1 = Plain1.arrivals(PhaseBegan);
     const std::size_t n2 = Plain2.arrivals(PhaseBegan);
     const bool good = n1 <= most && n2 <= most && n1 + n2 >= 4;
-    std::printf("%s: limited servers got %zu and %zu requests, at most %zu\n",
+    std::printf("%s: limited servers received %zu and %zu requests, at most "
+                "%zu allowed\n",
                 good ? "ok" : "FAILED", n1, n2, most);
     Failures += good ? 0 : 1;
     enter(Phase::Rest);
   }
 
-  /// Each server is asked once: it wants rest, and the next caller is told when
-  /// the first one is back.
+  /// Each server has received one request and asked for a backoff: the next
+  /// caller is told when the first of them accepts requests again.
   void judgeRest() {
     constexpr double LeastComeBack = 0.1;
     const bool rests = Status == 503 && Body == "servers_rest\n";
-    // A server that had no permit left to be asked with isn't known to rest.
+    // If there was no permit for a server, it received no request, and the
+    // entry doesn't know its backoff yet.
     if (!rests && Loop.now() < PhaseBegan + std::chrono::seconds(2))
       return enter(Phase::Rest);
     const bool good = rests && ComeBack >= LeastComeBack;
-    std::printf("%s: all servers rest, come back in %.1f s\n",
+    std::printf("%s: all servers back off, retry after %.1f s\n",
                 good ? "ok" : "FAILED", ComeBack);
     Failures += good ? 0 : 1;
     Loop.stop();
@@ -398,15 +405,15 @@
   bool Accepted = false;
   Phase Present = Phase::Expectations;
   TimePoint PhaseBegan;
-  /// Refusals while the zone is evacuated, and since when they came.
+  /// Number of refusals while the zone is evacuated, and the time of the first.
   int RefusedInZone = 0;
   TimePoint InForceSince;
-  /// Of the last refusal, in seconds.
+  /// Retry-after of the last answer, in seconds; 0 without one.
   double ComeBack = 0;
   std::size_t Next = 0;
   std::string Id;
   int Status = 0;
-  /// Answers that say that the deadly request is in quarantine.
+  /// Number of answers that refused the crashing request as quarantined.
   int Held = 0;
   std::string Body;
   int Failures = 0;
@@ -437,6 +444,6 @@
       return 2;
   }
   EventLoop loop;
-  // A run that doesn't end is a failed one; ctest ends it.
+  // A run that doesn't end has failed; the timeout of ctest stops it.
   return Player(loop, arguments).run();
 }
--- a/test/platform/FakePlatformServers.cpp
+++ b/test/platform/FakePlatformServers.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr const char *Model = "m0";
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 constexpr int Events = 5;
 
 std::string headerOf(const RequestHead &head, const char *name) {
@@ -38,7 +38,7 @@
 
 } // namespace
 
-/// One connection; requests are answered one after another.
+/// One connection; its requests are answered in order.
 class FakeServer::Channel : public HttpMessageHandler {
 public:
   Channel(FakeServer &owner, bufferevent *bev)
@@ -59,14 +59,15 @@
   void write(const std::string &bytes) {
     bufferevent_write(Bev, bytes.data(), bytes.size());
   }
-  /// Writes past the buffer, which would still be full when the end comes.
+  /// Sends directly to the socket, since closing the connection would discard
+  /// what is still in the output buffer.
   void writeAndClose(const std::string &bytes) {
     const auto n = ::send(bufferevent_getfd(Bev), bytes.data(), bytes.size(),
                           MSG_NOSIGNAL);
     Closing = n == static_cast<ssize_t>(bytes.size());
   }
   const std::string &body() const { return Body; }
-  /// Ends the connection.
+  /// Closes the connection.
   void finish() {
     const int fd = bufferevent_getfd(Bev);
     Closing = true;
@@ -120,7 +121,7 @@
       Loop.base(), onAccept, this, LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE,
       Backlog, reinterpret_cast<const sockaddr *>(&address), sizeof(address));
   if (!Listener)
-    throw std::runtime_error("can't listen on port " +
+    throw std::runtime_error("cannot listen on port " +
                              std::to_string(Address.Port));
 }
 
@@ -160,7 +161,8 @@
   const std::string stamps = echo + "Pimentofront-Response-Stamp: s\r\n";
   if (headerOf(head, "Pimentofront-Expect-Instance") != Instance)
     return channel.write(whole("421 Misdirected Request", echo, ""));
-  // The key is for the system alone, the account's name is the system's to say.
+  // The entry must not pass on the caller's key, and must replace the account
+  // name that the caller sent by the one that it determined itself.
   if (!headerOf(head, "Pimentofront-Credential").empty() ||
       headerOf(head, "Pimentofront-Tenant") != TestAccount)
     return channel.write(whole("500 Internal Server Error", stamps, "leaked"));
--- a/test/platform/FakePlatformServers.h
+++ b/test/platform/FakePlatformServers.h
@@ -13,35 +13,36 @@
 namespace pimentofront::testkit {
 
 /// \class FakeServer
-/// \brief A backend server of the platform that misbehaves on demand: the last
-/// part of a request's path says how it answers.
+/// \brief A fake backend server of the users' platform. The last segment of a
+/// request's path selects how it answers or misbehaves.
 ///
-/// Counts how often each request ran, so that a test sees what ran twice.
+/// Counts how often each request ran, so that a test detects repeated runs.
 class FakeServer {
 public:
-  /// \param runs counts the runs of each request, over all servers.
+  /// \param runs counts the runs of each request on all servers, by its
+  /// attempt id.
   FakeServer(EventLoop &loop, const HostPort &listen, std::string instance,
              std::map<std::string, int> &runs);
   ~FakeServer();
   FakeServer(const FakeServer &) = delete;
   FakeServer &operator=(const FakeServer &) = delete;
 
-  /// \returns the events of a whole stream.
+  /// \returns all events of a complete stream.
   static std::string events();
   const std::string &instance() const { return Instance; }
-  /// Names a limit in each answer from now on, in requests a second.
+  /// Reports a limit, in requests per second, in each answer from now on.
   void nameLimit(double perSecond) { Limit = perSecond; }
-  /// \returns the requests that reached it since \p since.
+  /// \returns the number of requests that arrived at or after \p since.
   std::size_t arrivals(TimePoint since) const {
     return static_cast<std::size_t>(std::ranges::count_if(
         Arrivals, [&](TimePoint it) { return it >= since; }));
   }
-  /// \returns whether its process runs: a request that ends it has it refuse
-  /// connections for a while, after which another process is there.
+  /// \returns whether the simulated process runs. After a request crashed it,
+  /// the server refuses connections for 300 ms and then acts as a new process.
   bool up() const { return Listener != nullptr; }
   std::uint64_t crashes() const { return Crashes; }
   std::uint64_t orders() const { return Orders; }
-  /// \returns when it started, as servers tell it: milliseconds since 1970.
+  /// \returns when it started, in milliseconds since 1970 as servers report it.
   std::uint64_t startedAt() const { return StartedAt; }
 
 private:
--- a/test/platform/TestDocument.h
+++ b/test/platform/TestDocument.h
@@ -6,22 +6,25 @@
 
 namespace pimentofront::testkit {
 
-/// Keys of the client accounts in testDocument(): of one without a limit, of
-/// one that may send nothing for minutes, and a key that no account holds. All
-/// begin alike, so that a search finds them wherever they leak.
+/// Keys of the client accounts in testDocument(): of an account without a
+/// limit, of one whose rate allows no further request for minutes, and a key
+/// that no account has. All have the same prefix, so that one search finds
+/// every leak.
 constexpr const char *TestKey = "secret-of-a-caller";
 constexpr const char *LimitedKey = "secret-of-a-limited-one";
 constexpr const char *UnknownKey = "secret-of-nobody";
 /// Name of the account that holds TestKey.
 constexpr const char *TestAccount = "shop";
 
-/// \param kind how often a request may run, in the platform's word.
-/// \param servers to which one request may be sent.
-/// \returns one route of test.example, /PREFIX/, as the platform writes it.
+/// \param kind the platform's route type, which says how often a request may
+/// run.
+/// \param servers the maximum number of servers that one request may be sent
+/// to. \returns the route of test.example for /PREFIX/, in the platform's
+/// format.
 nlohmann::json testRoute(const std::string &prefix, const char *kind,
                          const char *service, int servers, bool resumable);
 /// \returns a routing document with two services, `plain` and `engines`, and a
-/// route for each way in which a request may be repeated.
+/// route for each rule on repeating a request.
 nlohmann::json testDocument(std::uint64_t version);
 
 } // namespace pimentofront::testkit
--- a/test/platform/run.sh
+++ b/test/platform/run.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
-# The real processes between stand-ins of the users' platform, on loopback: what
-# callers see of backend servers that misbehave in every way that is known; then
-# the same with the leader of the replicas killed, and after a graceful stop of
-# the entry. Waits for events, never for a time. Argument: the build folder.
+# Runs the real processes on loopback with a fake of the users' platform: checks
+# what callers get from backend servers that misbehave in all known ways; repeats
+# this after the leader of the replicas was killed, and after a graceful restart
+# of the entry. Waits for events, never for a fixed time. Argument: the build
+# folder.
 set -eu
 bin=$1
 work=$(mktemp -d)
@@ -39,27 +40,27 @@
     { echo "failed: $1"; tail -n 20 "$work"/*.log; exit 1; }
   echo "ok: $1"
 }
-play "all of them behave as they should"
+play "all requests have the expected outcome"
 
 leader=$(grep -l '"event":"leader_began"' "$work"/n?.log | head -n 1)
 name=$(basename "$leader" .log)
 eval "kill -KILL \$pid_$name"
-play "also after the leader was killed"
+play "the same after the leader was killed"
 
 kill -TERM "$pid_e1"
-wait "$pid_e1" || { echo "the entry's exit code is bad"; exit 1; }
+wait "$pid_e1" || { echo "the entry exited with a non-zero code"; exit 1; }
 daemon e1
-play "also through an entry that stopped gracefully and came back"
+play "the same after a graceful restart of the entry"
 
 if grep -l "secret-of-" "$work"/*.log; then
-  echo "a key stands in a log"
+  echo "a log contains a key"
   exit 1
 fi
 for i in 1 2 3; do
-  curl -s "http://127.0.0.1:$((base + i))/metrics" | grep "secret-of-" && { echo "a key stands in the metrics"; exit 1; }
+  curl -s "http://127.0.0.1:$((base + i))/metrics" | grep "secret-of-" && { echo "the metrics contain a key"; exit 1; }
 done
-echo "ok: no key stands in a log line or metric"
+echo "ok: neither logs nor metrics contain a key"
 
 id=$(grep -h '"event":"request_lost"' "$work/e1.log" | grep -o '"request":"[^"]*"' | tail -n 1 | cut -d'"' -f4)
-"$bin/packages/ctl/pimentofrontctl" explain "$id" "$work"/*.log | grep -q '^=> ' || { echo "no cause for $id"; exit 1; }
-echo "ok: a lost request's id leads to its cause"
+"$bin/packages/ctl/pimentofrontctl" explain "$id" "$work"/*.log | grep -q '^=> ' || { echo "explain shows no cause for request $id"; exit 1; }
+echo "ok: explain shows the cause of a lost request"
--- a/test/platform/soak/Callers.cpp
+++ b/test/platform/soak/Callers.cpp
@@ -14,20 +14,22 @@
 constexpr int StatusUnavailable = 503;
 constexpr Duration SendPeriod = milliseconds(15);
 constexpr Duration MarkerPeriod = milliseconds(250);
-/// What each caller says that it waits.
+/// Timeout that each caller sends with its request.
 constexpr Duration CallerTime = milliseconds(1500);
-/// After that an answer must be there in calm times.
+/// Additional time after CallerTime by which an answer must have arrived in
+/// calm periods.
 constexpr Duration AnswerSlack = milliseconds(700);
-/// So long must nothing have been disturbed for the promises of calm times:
-/// a lease, and a leader's election after it.
+/// Time without faults after which the guarantees for calm periods hold: the
+/// expiry of a lease and the election of a leader after it.
 constexpr Duration CalmTime = seconds(5);
-/// Good answers in a row after which an entry counts as serving.
+/// Number of consecutive good answers after which an entry counts as serving.
 constexpr std::uint32_t EnoughGood = 20;
-/// An entry that showed a document's effect may show the one before for so
-/// long, in requests that it had already taken in.
+/// Time for which an entry that already served a document may still answer by
+/// the document before, for requests that it had accepted earlier.
 constexpr Duration RollbackSlack = milliseconds(250);
 
-/// What is asked for, how often; the last part is how a server behaves.
+/// Paths of requests; repeated ones are requested more often. The last segment
+/// selects the behaviour of the server.
 constexpr const char *UsualPaths[] = {
     "/once/ok",     "/once/ok",   "/once/extra",  "/once/late",
     "/once/cut",    "/once/fail", "/once/shed",   "/once/unframed",
@@ -128,7 +130,7 @@
   const Request &request = node.mapped();
   judgeTime(request);
   if (ending != UpstreamEnding::Complete) {
-    ++Seen.Counts["answers that broke off"];
+    ++Seen.Counts["answers that were incomplete"];
     Entries[request.Entry].GoodInARow = 0;
     return;
   }
@@ -159,7 +161,7 @@
   if (request.Status == StatusUnavailable)
     Refused.push_back(request.Id);
   if (request.Status == StatusNotFound && request.Marker == 0)
-    broke(request, "404 for a route that every document has");
+    broke(request, "404 for a route that is in every document");
   if (!good)
     return;
   const bool stream = request.Path.find("/stream") != std::string::npos;
@@ -167,7 +169,8 @@
       stream ? testkit::FakeServer::events() : request.Id;
   if (request.Body != expected)
     broke(request,
-          std::string("another body than the server's: ").append(request.Body));
+          std::string("body differs from the one that the server sent: ")
+              .append(request.Body));
 }
 
 void Callers::judgeMarker(const Request &request) {
@@ -179,7 +182,7 @@
     const bool afterNewer = request.Marker < view.Newest &&
                             request.SentAt > view.SeenAt + RollbackSlack;
     if (afterNewer)
-      broke(request, "served by an older document than before");
+      broke(request, "served by an older document than an earlier request");
     if (request.Marker > view.Newest) {
       view.Newest = request.Marker;
       view.SeenAt = now;
@@ -190,11 +193,11 @@
       request.Marker == Changes.acknowledged() && !Changes.changeUnderWay();
   const bool due = request.SentAt >= Changes.acknowledgedAt() + InForceBound;
   if (request.Status == StatusNotFound && current && due && request.SentCalm)
-    broke(request, "404 though its document was acknowledged in time");
+    broke(request, "404 although its document was acknowledged in time");
 }
 
 //===----------------------------------------------------------------------===//
-// Ends
+// Results
 //===----------------------------------------------------------------------===//
 
 bool Callers::served() const {
@@ -216,19 +219,19 @@
       brokeRun(id, "ran " + std::to_string(runsOf(id)) + " times");
   for (const std::string &id : Refused)
     if (runsOf(id) > 0)
-      brokeRun(id, "ran though it was refused");
+      brokeRun(id, "ran although it was refused");
   for (const auto &[attempt, it] : UnderWay)
-    broke(it, "sent " +
-                  std::to_string((Loop.now() - it.SentAt).count() / 1000) +
-                  " ms ago, has no end; status " + std::to_string(it.Status) +
-                  ", " + std::to_string(it.Body.size()) + " B so far");
+    broke(it,
+          "sent " + std::to_string((Loop.now() - it.SentAt).count() / 1000) +
+              " ms ago, still in flight; status " + std::to_string(it.Status) +
+              ", " + std::to_string(it.Body.size()) + " B so far");
 }
 
 std::string Callers::state() const {
   std::string text;
   for (const EntryView &it : Entries)
     text += " " + std::to_string(it.GoodInARow);
-  return "good answers in a row by entry:" + text;
+  return "consecutive good answers by entry:" + text;
 }
 
 } // namespace pimentofront::soak
--- a/test/platform/soak/Callers.h
+++ b/test/platform/soak/Callers.h
@@ -6,24 +6,26 @@
 namespace pimentofront::soak {
 
 /// \class Callers
-/// \brief Sends requests through all entries, on connections that are kept for
-/// as long as the entry keeps them, and checks each answer: whole, its own, of
-/// a request that ran as often as it may, in time.
+/// \brief Sends requests through all entries, on keep-alive connections, and
+/// checks that each answer is complete, belongs to its request, and arrives in
+/// time, and that no request ran more often than its route allows.
 class Callers : public UpstreamHandler {
 public:
   Callers(EventLoop &loop, Deployment &deployment, FaultPlan &faults,
           Operator &changes, std::uint64_t seed, Report &report);
 
-  /// Sends no more requests; those under way go on.
+  /// Stops sending; requests in flight continue.
   void end() {
     Sender.reset();
     MarkerSender.reset();
   }
-  /// \returns whether the last requests through each entry were all answered.
+  /// \returns whether the last requests through each entry were all answered
+  /// well.
   bool served() const;
-  /// \returns what served() is decided by, for the report.
+  /// \returns the counts that decide served(), for the report.
   std::string state() const;
-  /// Looks at what ran, once nothing is under way any more.
+  /// Checks how often each request ran, and that each one has ended. To be
+  /// called once no request is in flight any more.
   void checkRuns();
 
   HeadVerdict onHead(const AttemptId &attempt, ResponseHead head) override;
@@ -36,18 +38,18 @@
     std::string Path;
     std::size_t Entry = 0;
     std::uint32_t EntryStart = 0;
-    /// Version whose own route it asks for; 0 for a usual request.
+    /// Document version whose own route the request uses; 0 for other requests.
     std::uint64_t Marker = 0;
     TimePoint SentAt;
-    /// Nothing was disturbed for some time when it was sent.
+    /// Whether there was no fault for CalmTime before it was sent.
     bool SentCalm = false;
     int Status = 0;
     std::string Body;
   };
-  /// What has been seen of one start of an entry.
+  /// Observations of one incarnation of an entry.
   struct EntryView {
     std::uint32_t Start = 0;
-    /// Newest document whose effect was seen, and when.
+    /// Newest document version that the entry served, and when this was seen.
     std::uint64_t Newest = 0;
     TimePoint SeenAt;
     std::uint32_t GoodInARow = 0;
@@ -76,7 +78,8 @@
   std::uint64_t LastId = 0;
   std::map<AttemptId, Request> UnderWay;
   std::vector<EntryView> Entries;
-  /// Paths of all requests, and those that were promised not to have run.
+  /// Paths of all requests by id, and the ids of the requests that were refused
+  /// and thus must not have run.
   std::map<std::string, std::string> Paths;
   std::vector<std::string> Refused;
   std::unique_ptr<Timer> Sender;
--- a/test/platform/soak/Child.cpp
+++ b/test/platform/soak/Child.cpp
@@ -42,9 +42,9 @@
   StoppedEarly = false;
   const pid_t id = ::fork();
   if (id < 0)
-    throw std::runtime_error("can't start a process");
+    throw std::runtime_error("cannot start a process");
   if (id == 0) {
-    // A soak that is killed leaves nothing behind.
+    // Ends the process with the soak test, also when that is killed.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int fd = ::open(Log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     ::dup2(fd, STDOUT_FILENO);
--- a/test/platform/soak/Child.h
+++ b/test/platform/soak/Child.h
@@ -11,14 +11,16 @@
 namespace pimentofront::soak {
 
 /// \class Child
-/// \brief A process that the soak has started, and the only way in which it
-/// signals one: by the id that it got, while that process lives.
+/// \brief A process that the soak test has started.
+///
+/// The soak test signals processes only through this class, which uses the id
+/// of the started process and only while that process runs.
 class Child {
 public:
-  /// \param log takes what the process writes.
+  /// \param log file for the process's standard output and standard error.
   Child(std::vector<std::string> command, std::string log)
       : Command(std::move(command)), Log(std::move(log)) {}
-  /// Kills what still runs.
+  /// Kills the process if it still runs.
   ~Child();
   Child(Child &&other) noexcept;
   Child &operator=(Child &&) = delete;
@@ -27,13 +29,14 @@
   void start();
   /// Signals the process, if it runs.
   void signal(int number);
-  /// \returns how the process ended, once, as waitpid() tells it.
+  /// \returns the status of waitpid() once after the process has ended; else
+  /// not set.
   std::optional<int> reap();
   bool runs() const { return Id > 0; }
-  /// \returns whether the process was told to stop before it had written
-  /// anything: it may not have taken over the handling of signals yet.
+  /// \returns whether the process got SIGTERM before it had written anything.
+  /// It may not have installed its signal handlers by then.
   bool stoppedEarly() const { return StoppedEarly; }
-  /// Starts so far: names an incarnation.
+  /// \returns the number of starts so far, which identifies the incarnation.
   std::uint32_t starts() const { return Starts; }
 
 private:
@@ -41,7 +44,7 @@
   std::string Log;
   pid_t Id = 0;
   std::uint32_t Starts = 0;
-  /// Of the log, when the process started.
+  /// Size of the log when the process started, in bytes.
   std::uintmax_t LogSizeBefore = 0;
   bool StoppedEarly = false;
 };
--- a/test/platform/soak/Deployment.cpp
+++ b/test/platform/soak/Deployment.cpp
@@ -23,7 +23,8 @@
 
 Deployment::Deployment(EventLoop &loop, const DeploymentOptions &options)
     : Loop(loop), Options(options) {
-  // Others point at them.
+  // Other objects hold pointers to the elements, so the vector must not grow
+  // beyond this capacity.
   constexpr std::size_t MostDaemons = 400;
   Daemons.reserve(MostDaemons);
   addReplicas();
--- a/test/platform/soak/Deployment.h
+++ b/test/platform/soak/Deployment.h
@@ -8,16 +8,16 @@
 namespace pimentofront::soak {
 
 /// \class DeploymentOptions
-/// \brief How large a deployment is; 400 daemons at most.
+/// \brief Size of a deployment; at most 400 daemons.
 struct DeploymentOptions {
   std::string Daemon;
-  /// Takes settings, data folders and logs.
+  /// Folder for settings, data folders and logs.
   std::string Folder;
-  /// First of ten ports in a row that are free on all loopback addresses.
+  /// First of ten consecutive ports that are free on all loopback addresses.
   std::uint16_t FirstPort = 0;
   int Replicas = 3;
   int Entries = 2;
-  /// Engines, each with an agent beside it.
+  /// Number of engines, each with an agent on its host.
   int Engines = 2;
   int PlainServers = 2;
 };
@@ -39,8 +39,8 @@
 };
 
 /// \class Deployment
-/// \brief The processes of the system on loopback, each host an address of its
-/// own, with a proxy on each way between them, and stand-ins for the backend
+/// \brief The processes of the system on loopback, with one address per host, a
+/// proxy in front of each daemon and each backend server, and fake backend
 /// servers.
 class Deployment {
 public:
@@ -49,17 +49,18 @@
   std::vector<Daemon> &daemons() { return Daemons; }
   std::vector<Server> &servers() { return Servers; }
   std::vector<TcpProxy *> proxies();
-  /// Where the operator and the backend servers call.
+  /// \returns the addresses that the operator and the backend servers call.
   const std::vector<HostPort> &controls() const { return Controls; }
-  /// Where callers connect, and which daemon is there.
+  /// \returns the addresses that callers connect to, with their daemons.
   const std::vector<std::pair<HostPort, Daemon *>> &fronts() const {
     return Fronts;
   }
-  /// How often each request ran, over all backend servers.
+  /// \returns how often each request ran, on all backend servers together.
   const std::map<std::string, int> &runs() const { return Runs; }
-  /// Empties the disk of a replica that doesn't run.
+  /// Deletes the data folder of a replica that doesn't run.
   void wipe(const Daemon &replica);
-  /// Ends the first start: a replica with an empty disk joins from now on.
+  /// Disables bootstrap in the replicas' settings: a replica that starts with
+  /// an empty disk joins the group from now on.
   void endBootstrap();
 
 private:
--- a/test/platform/soak/FaultPlan.cpp
+++ b/test/platform/soak/FaultPlan.cpp
@@ -12,13 +12,13 @@
 using std::chrono::seconds;
 
 constexpr Duration TickPeriod = milliseconds(20);
-/// Pause between faults of a series, and between series: the longest one lets
-/// the promises of calm times be checked.
+/// Maximum pause between the faults of a series, and pause between series. The
+/// latter is long enough for the checks of calm periods to apply.
 constexpr Duration SeriesPause = milliseconds(500);
 constexpr Duration CalmPause = seconds(7);
-/// One in so many faults is followed by a calm span.
+/// On average one in this many faults is followed by a calm period.
 constexpr std::size_t CalmEvery = 8;
-/// A replica with an empty disk counts as lost for so long.
+/// Time for which a replica with an empty disk counts as lost.
 constexpr Duration CatchUp = seconds(5);
 
 } // namespace
@@ -75,7 +75,8 @@
     inject(now);
 }
 
-/// Notices processes that end without having been told to.
+/// Restarts processes that have ended, and reports those that ended without a
+/// signal from this test and not with exit code 0.
 void FaultPlan::reap() {
   for (Daemon &it : World.daemons()) {
     const auto status = it.Process.reap();
@@ -87,9 +88,9 @@
                        WTERMSIG(*status) == SIGTERM;
     if (!killed && !good && !early)
       Seen.broke(BegunAt, Loop.now(),
-                 it.Name + " ended by itself, status " +
+                 it.Name + " exited unexpectedly, status " +
                      std::to_string(*status));
-    // As on the platform: whatever ends is started anew after a short while.
+    // As on the platform, a process that ends is restarted after a short delay.
     const TimePoint now = Loop.now();
     later(now + between(milliseconds(100), seconds(1)),
           [&it] { it.Process.start(); });
@@ -133,7 +134,8 @@
     return;
   it.Process.signal(kind);
   if (kind != SIGSTOP) {
-    // Until it has ended and its successor is up.
+    // Counts as a fault until the process has ended; its restart counts from
+    // then on.
     later(now + milliseconds(100), [] {});
     return note(now, std::string(kind == SIGKILL ? "kill" : "terminate") +
                          ", " + it.Name);
@@ -157,7 +159,8 @@
   Daemon *lost = replicas[draw(replicas.size())];
   DiskSafeAt = now + CatchUp + SeriesPause;
   lost->Process.signal(SIGKILL);
-  // No other disk is lost until this one has caught up; other faults go on.
+  // DiskSafeAt prevents another disk loss until this replica has caught up;
+  // other faults continue.
   later(now + milliseconds(50), [this, lost] { World.wipe(*lost); });
   note(now, "disk lost, " + lost->Name);
 }
--- a/test/platform/soak/FaultPlan.h
+++ b/test/platform/soak/FaultPlan.h
@@ -8,22 +8,22 @@
 
 /// \class FaultPlan
 /// \brief Draws faults from a seed and injects them from outside: signals to
-/// processes, disturbances of the ways between them, lost disks. They come in
-/// series and overlap, with calm spans between.
+/// processes, disturbances of the connections between them, lost disks. Faults
+/// come in series and overlap, with calm periods between the series.
 ///
-/// Kept to: at most one replica has lost its disk until it has had time to
-/// catch up, as the deployment is set up to bear.
+/// Invariant: at most one replica at a time has lost its disk and not yet had
+/// time to catch up, since the deployment is configured to tolerate one loss.
 class FaultPlan {
 public:
   FaultPlan(EventLoop &loop, Deployment &deployment, std::uint64_t seed,
             Report &report);
 
-  /// From now on faults come.
+  /// Starts injecting faults.
   void begin(TimePoint now);
-  /// Ends all that is under way, and starts what doesn't run.
+  /// Stops injecting faults, ends all current ones, and starts the processes
+  /// that wait for a restart.
   void heal();
-  /// \returns since when nothing has been disturbed; not set while something
-  /// is.
+  /// \returns the time since which there has been no fault; not set during one.
   std::optional<TimePoint> calmSince() const;
 
 private:
--- a/test/platform/soak/Operator.cpp
+++ b/test/platform/soak/Operator.cpp
@@ -15,7 +15,8 @@
 constexpr Duration CallTimeout = std::chrono::seconds(1);
 constexpr Duration RetryPause = milliseconds(150);
 
-/// \returns the document of a version, with the route that only it has.
+/// \returns the document of a version, with the route that only this version
+/// has.
 nlohmann::json document(std::uint64_t version) {
   nlohmann::json result = testkit::testDocument(version);
   result["routes"].push_back(testkit::testRoute(
@@ -54,7 +55,7 @@
       {"slots", 8},
       {"state", "ready"},
       {"seq", Beats}};
-  // A call that fails is made up for by the next one.
+  // Failed calls are ignored: the next period registers the server again.
   for (std::size_t i = 0; i < 2; ++i)
     Client.start(
         {.Address = World.controls()[(at + i) % World.controls().size()],
@@ -76,8 +77,7 @@
   sendChange(0);
 }
 
-/// Sends the same change again, to one replica after the other, until it is
-/// acknowledged.
+/// Sends the change to one replica after another until it is acknowledged.
 void Operator::sendChange(std::size_t attempt) {
   const std::size_t at = attempt % World.controls().size();
   Client.start({.Address = World.controls()[at],
@@ -101,7 +101,7 @@
                                        answer.Status < ServerError;
                   if (answer.Ending == HttpEnding::Complete && refused)
                     Seen.broke(BegunAt, Loop.now(),
-                               "a good change is refused with " +
+                               "a valid change was refused with status " +
                                    std::to_string(answer.Status));
                   Retry = Loop.after(
                       RetryPause, [this, attempt] { sendChange(attempt + 1); });
@@ -131,11 +131,12 @@
       json.is_object() ? json.value("version", std::uint64_t(0)) : 0;
   if (version < atLeast)
     Seen.broke(BegunAt, Loop.now(),
-               "version " + std::to_string(version) + " is read though " +
+               "version " + std::to_string(version) + " was read although " +
                    std::to_string(atLeast) + " was acknowledged");
   else if (version > 0 && json != document(version))
     Seen.broke(BegunAt, Loop.now(),
-               "version " + std::to_string(version) + " isn't what was sent");
+               "version " + std::to_string(version) +
+                   " differs from the document that was sent");
 }
 
 } // namespace pimentofront::soak
--- a/test/platform/soak/Operator.h
+++ b/test/platform/soak/Operator.h
@@ -6,29 +6,32 @@
 
 namespace pimentofront::soak {
 
-/// How long after its acknowledgement a routing document must be in force.
+/// Time after its acknowledgement by which a routing document must be in force.
 constexpr Duration InForceBound = std::chrono::seconds(2);
 
 /// \class Operator
-/// \brief Registers the backend servers, changes the routing document again and
-/// again, and reads it back; checks that what was acknowledged stays.
+/// \brief Registers the backend servers, changes the routing document
+/// periodically and reads it back; checks that no acknowledged change is lost.
 ///
-/// Each document has a route of its own, /m<version>/, which the next one
-/// drops: whether it is served shows which document an entry has.
+/// Each document has a route of its own, /m<version>/, that the next document
+/// no longer has: whether that route is served shows which document an entry
+/// uses.
 class Operator {
 public:
   Operator(EventLoop &loop, Deployment &deployment, std::uint64_t seed,
            Report &report);
 
-  /// From now on the document changes.
+  /// Starts changing the document.
   void begin() { Changing = true; }
   void end() { Changing = false; }
-  /// \returns the newest acknowledged version, and when it was.
+  /// \returns the newest acknowledged version; acknowledgedAt() is the time of
+  /// its acknowledgement.
   std::uint64_t acknowledged() const { return Acknowledged; }
   TimePoint acknowledgedAt() const { return AcknowledgedAt; }
-  /// \returns whether a version has been sent that may be in force besides.
+  /// \returns whether a newer version has been sent, which may be in force
+  /// already.
   bool changeUnderWay() const { return Sending > Acknowledged; }
-  /// Reads the document at each replica.
+  /// Reads the document from each replica and checks it.
   void readBack();
 
 private:
--- a/test/platform/soak/Report.h
+++ b/test/platform/soak/Report.h
@@ -10,8 +10,8 @@
 namespace pimentofront::soak {
 
 /// \class Report
-/// \brief What a run saw: each broken promise with its place, and how often
-/// everything happened.
+/// \brief Results of a run: each violation with its time since the start of the
+/// run, and a count of each kind of event.
 struct Report {
   std::vector<std::string> Broken;
   std::map<std::string, std::uint64_t> Counts;
--- a/test/platform/soak/SoakMain.cpp
+++ b/test/platform/soak/SoakMain.cpp
@@ -1,7 +1,8 @@
-// A randomized soak of the real programs: separate processes on loopback,
-// faults from outside, promises checked by what callers, the operator and the
-// backend servers see. A seed gives the schedule. Prints what was injected,
-// what was checked and what broke; exit code 1 when something did.
+// Randomized soak test of the real programs: separate processes on loopback,
+// faults injected from outside, and guarantees checked by what callers, the
+// operator and the backend servers observe. The seed determines the schedule.
+// Prints the injected faults, the counts of events and the violations; the exit
+// code is 1 if there was a violation.
 
 #include "Callers.h"
 
@@ -18,11 +19,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// After the last fault all must be served again within so long: a lost disk's
-/// time to catch up, a process's time to stop and start, a lease.
+/// Time after the last fault within which all requests must be served again:
+/// the time for a replica with a lost disk to catch up, for a process to stop
+/// and start, and for a lease to expire.
 constexpr Duration RecoveryBound = seconds(25);
 constexpr Duration StartBound = seconds(30);
-/// Requests under way have ended so long after the last one was sent.
+/// Time after the last request by which all requests in flight must have ended.
 constexpr Duration DrainTime = seconds(4);
 constexpr Duration LookPeriod = milliseconds(100);
 
@@ -51,7 +53,7 @@
                   what.c_str());
     for (const std::string &it : Seen.Broken)
       std::printf("BROKEN %s\n", it.c_str());
-    std::printf("seed %llu: %zu promises broken\n",
+    std::printf("seed %llu: %zu violations\n",
                 static_cast<unsigned long long>(Options.Seed),
                 Seen.Broken.size());
     return Seen.Broken.empty() ? 0 : 1;
@@ -67,7 +69,7 @@
     case Phase::Starting:
       if (Requests.served())
         return disturb(now);
-      return giveUpAfter(StartBound, since, "doesn't begin to serve");
+      return giveUpAfter(StartBound, since, "does not begin to serve");
     case Phase::Disturbed:
       if (since >= Options.Time)
         heal(now);
@@ -75,7 +77,7 @@
     case Phase::Recovering:
       if (Requests.served() && since > seconds(1) && !Changes.changeUnderWay())
         return drain(now);
-      return giveUpAfter(RecoveryBound, since, "doesn't recover");
+      return giveUpAfter(RecoveryBound, since, "does not recover");
     case Phase::Draining:
       if (since >= DrainTime)
         Loop.stop();
@@ -108,7 +110,7 @@
       return;
     Seen.Broken.push_back(
         std::string(what) + "; " + Requests.state() +
-        (Changes.changeUnderWay() ? ", a change is under way" : ""));
+        (Changes.changeUnderWay() ? ", a change is in flight" : ""));
     Loop.stop();
   }
 
@@ -177,7 +179,8 @@
                stderr);
     return 2;
   }
-  // A peer that goes away is an error of a write, not an end.
+  // Writing to a closed connection must fail with an error, not end the
+  // process.
   std::signal(SIGPIPE, SIG_IGN);
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::filesystem::create_directories(arguments.Deployment.Folder);
--- a/test/platform/soak/TcpProxy.cpp
+++ b/test/platform/soak/TcpProxy.cpp
@@ -10,7 +10,7 @@
 namespace pimentofront::soak {
 namespace {
 
-/// How often held bytes are looked at.
+/// Period in which buffered bytes are checked for delivery.
 constexpr Duration TickPeriod = std::chrono::milliseconds(5);
 
 } // namespace
@@ -30,7 +30,7 @@
       loop.base(), onAccept, this, LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_FREE,
       Backlog, reinterpret_cast<const sockaddr *>(&address), sizeof(address));
   if (!Listener)
-    throw std::runtime_error("a proxy can't listen on port " +
+    throw std::runtime_error("a proxy cannot listen on port " +
                              std::to_string(listen.Port));
   Ticker = loop.every(TickPeriod, [this] { tick(); });
 }
@@ -132,7 +132,8 @@
     if (it.Over)
       continue;
     pump(it);
-    // An end is passed on behind the bytes before it, and not through a cut.
+    // A close is passed on only after the bytes before it, and not during a
+    // cut.
     const bool callerLeft =
         it.Caller.Ended && passes(it, it.Target) && it.Target.Held.empty();
     const bool targetLeft =
--- a/test/platform/soak/TcpProxy.h
+++ b/test/platform/soak/TcpProxy.h
@@ -10,25 +10,25 @@
 
 namespace pimentofront::soak {
 
-/// What a proxy does to the connections that pass through it.
+/// The fault that a proxy applies to its connections.
 enum class Disturbance : std::uint8_t {
   None,
-  /// Bytes come later, in both directions.
+  /// Bytes are delayed in both directions.
   Delay,
-  /// Nothing passes until it ends; then all that was held up does.
+  /// Bytes are buffered until the disturbance ends, and delivered then.
   Cut,
-  /// The same in the direction away from whoever connected.
+  /// The same, but only for bytes from the connecting side to the target.
   CutOneWay,
-  /// The connections of now never carry a byte again; new ones do.
+  /// Existing connections never deliver a byte again; new ones work.
   Silence,
-  /// The connections of now are reset; new ones work.
+  /// Existing connections are reset; new ones work.
   Reset,
 };
 const char *disturbanceName(Disturbance disturbance);
 
 /// \class TcpProxy
-/// \brief Carries connections on loopback between two addresses, and disturbs
-/// them from outside of the processes at both ends.
+/// \brief Forwards TCP connections on loopback to a target address and injects
+/// network faults without involving the processes at both ends.
 class TcpProxy {
 public:
   /// \throws std::runtime_error when \p listen can't be bound.
@@ -37,16 +37,17 @@
   TcpProxy(const TcpProxy &) = delete;
   TcpProxy &operator=(const TcpProxy &) = delete;
 
-  /// \param delay counts for Disturbance::Delay only.
+  /// \param delay used by Disturbance::Delay only.
   void disturb(Disturbance disturbance, Duration delay);
   void heal() { Present = Disturbance::None; }
 
 private:
   struct Side {
     bufferevent *Bev = nullptr;
-    /// What came from the other side and when it may go on.
+    /// Bytes received from the other side, with the time when they may be sent
+    /// on.
     std::deque<std::pair<TimePoint, std::string>> Held;
-    /// This side has ended.
+    /// Whether this side has closed the connection.
     bool Ended = false;
   };
   struct Connection {
