--- a/test/platform/FakePlatformMain.cpp
+++ b/test/platform/FakePlatformMain.cpp
@@ -16,7 +16,7 @@
 
 struct Arguments {
   std::vector<std::string> Control;
-  std::string Front;
+  std::string Entry;
   std::string Plain;
   std::string Engine;
   std::string Engine2;
@@ -35,19 +35,19 @@
 
 /// First request to the engines; it is retried until they serve, since they are
 /// used only some time after their registration.
-constexpr std::string_view FirstOfEngines = "/flow/stream";
-constexpr const char *DeadlyPath = "/safe/crash";
+constexpr std::string_view FirstEnginePath = "/flow/stream";
+constexpr const char *CrashPath = "/safe/crash";
 /// Requested repeatedly while both plain servers report a limit.
 constexpr const char *LimitedPath = "/safe/ok";
 constexpr double LimitPerSecond = 2;
-constexpr Duration LimitedTime = std::chrono::seconds(3);
+constexpr Duration LimitedDuration = std::chrono::seconds(3);
 /// Makes each plain server ask for a backoff.
-constexpr const char *RestPath = "/safe/rest";
+constexpr const char *BackoffPath = "/safe/rest";
 /// Zone of all backend servers.
 constexpr const char *EvacuationPath = "/-/evacuation/z";
 constexpr const char *UnknownZonePath = "/-/evacuation/nowhere";
 /// Number of refusals that show that an evacuation is in force.
-constexpr int EvacuatedTimes = 5;
+constexpr int RequiredRefusals = 5;
 /// Placeholder in an expected body for the request's own id.
 constexpr const char *OwnId = "<id>";
 
@@ -83,17 +83,17 @@
   return All;
 }
 
-class Player : public UpstreamHandler {
+class PlatformSimulator : public UpstreamHandler {
 public:
-  Player(EventLoop &loop, const Arguments &arguments)
+  PlatformSimulator(EventLoop &loop, const Arguments &arguments)
       : Loop(loop), Options(arguments), Control(loop), Callers(loop, {}, *this),
         Plain1(loop, *HostPort::parse(Options.Plain), "i-p1", Runs),
         Plain2(loop, nextPort(Options.Plain), "i-p2", Runs),
         Engine1(loop, *HostPort::parse(Options.Engine), "i-e1", Runs),
         Engine2(loop, *HostPort::parse(Options.Engine2), "i-e2", Runs) {
-    constexpr Duration Beat = std::chrono::milliseconds(300);
-    Beats = Loop.every(Beat, [this] { beat(); });
-    beat();
+    constexpr Duration RegisterPeriod = std::chrono::milliseconds(300);
+    RegisterTimer = Loop.every(RegisterPeriod, [this] { registerServers(); });
+    registerServers();
   }
 
   int run() {
@@ -111,23 +111,24 @@
     Body += bytes;
   }
   void onEnd(const AttemptId &, UpstreamEnding ending) override {
-    if (Present != Phase::Expectations)
+    if (CurrentPhase != Phase::Expectations)
       return onPhaseAnswer();
     // Retry until the servers are known and the document is in force
     // everywhere.
     const bool first =
         Next == 0 ||
-        std::string_view(expectations()[Next].Path) == FirstOfEngines;
+        std::string_view(expectations()[Next].Path) == FirstEnginePath;
     const bool early = first && Status != 200;
     if (early) {
-      Retry = Loop.after(std::chrono::milliseconds(200), [this] { ask(); });
+      Retry =
+          Loop.after(std::chrono::milliseconds(200), [this] { sendRequest(); });
       return;
     }
-    judge(ending);
+    checkExpectation(ending);
     if (++Next == expectations().size())
       evacuate();
     else
-      askAfter(Duration::zero());
+      sendRequestAfter(Duration::zero());
   }
 
 private:
@@ -135,53 +136,53 @@
     Expectations,
     Evacuated,
     Restored,
-    Deadly,
+    Crashing,
     Limited,
-    Rest,
-    AfterRest
+    Backoff,
+    AfterBackoff
   };
 
-  void enter(Phase phase) {
-    Present = phase;
-    PhaseBegan = Loop.now();
-    askAfter(Duration::zero());
+  void enterPhase(Phase phase) {
+    CurrentPhase = phase;
+    PhaseStart = Loop.now();
+    sendRequestAfter(Duration::zero());
   }
 
-  void askAfter(Duration pause) {
-    Retry = Loop.after(pause, [this] { ask(); });
+  void sendRequestAfter(Duration pause) {
+    Retry = Loop.after(pause, [this] { sendRequest(); });
   }
 
   void onPhaseAnswer() {
-    switch (Present) {
+    switch (CurrentPhase) {
     case Phase::Expectations:
       return;
     case Phase::Evacuated:
-      return judgeEvacuated();
+      return checkEvacuated();
     case Phase::Restored:
-      return judgeRestored();
-    case Phase::Deadly:
-      return judgeDeadly();
+      return checkRestored();
+    case Phase::Crashing:
+      return checkCrashing();
     case Phase::Limited:
-      return judgeLimited();
-    case Phase::Rest:
-      return enter(Phase::AfterRest);
-    case Phase::AfterRest:
-      return judgeRest();
+      return checkLimited();
+    case Phase::Backoff:
+      return enterPhase(Phase::AfterBackoff);
+    case Phase::AfterBackoff:
+      return checkBackoff();
     }
   }
 
   const char *path() const {
-    switch (Present) {
+    switch (CurrentPhase) {
     case Phase::Expectations:
       return expectations()[Next].Path;
-    case Phase::Deadly:
-      return DeadlyPath;
-    case Phase::Rest:
-      return RestPath;
+    case Phase::Crashing:
+      return CrashPath;
+    case Phase::Backoff:
+      return BackoffPath;
     case Phase::Evacuated:
     case Phase::Restored:
     case Phase::Limited:
-    case Phase::AfterRest:
+    case Phase::AfterBackoff:
       return LimitedPath;
     }
     return "";
@@ -197,25 +198,25 @@
     return it.Ip + ":" + std::to_string(it.Port);
   }
 
-  void beat() {
+  void registerServers() {
     ++Sequence;
-    put(Plain1, "plain", *HostPort::parse(Options.Plain));
-    put(Plain2, "plain", nextPort(Options.Plain));
-    put(Engine1, "engines", *HostPort::parse(Options.Engine));
-    put(Engine2, "engines", *HostPort::parse(Options.Engine2));
-    if (!Accepted)
+    registerServer(Plain1, "plain", *HostPort::parse(Options.Plain));
+    registerServer(Plain2, "plain", nextPort(Options.Plain));
+    registerServer(Engine1, "engines", *HostPort::parse(Options.Engine));
+    registerServer(Engine2, "engines", *HostPort::parse(Options.Engine2));
+    if (!DocumentAccepted)
       send("PUT", "/-/config", testDocument(1), 0, [this](int status) {
-        if (status != 200 || Accepted)
+        if (status != 200 || DocumentAccepted)
           return;
-        Accepted = true;
+        DocumentAccepted = true;
         std::puts("ok: the routing document was accepted");
-        ask();
+        sendRequest();
       });
   }
 
-  void put(const FakeServer &server, const char *service,
-           const HostPort &address) {
-    if (!server.up())
+  void registerServer(const FakeServer &server, const char *service,
+                      const HostPort &address) {
+    if (!server.isUp())
       return;
     send("PUT", "/-/instances/" + server.instance(),
          {{"backend", service},
@@ -251,8 +252,8 @@
                    }});
   }
 
-  void ask() {
-    Id = "r" + std::to_string(++Asked);
+  void sendRequest() {
+    Id = "r" + std::to_string(++RequestCount);
     Status = 0;
     Body.clear();
     RequestHead head{"POST",
@@ -266,7 +267,7 @@
                       {"Pimentofront-Prompt-Prefix", "a1:60,b2:40"},
                       {"Pimentofront-Deadline-Ms", "1500"}}};
     Callers.send({.Attempt = {1, ++Sent},
-                  .Address = Options.Front,
+                  .Address = Options.Entry,
                   .Head = std::move(head),
                   .Body = std::make_shared<const std::string>(1000, 'x')});
   }
@@ -274,10 +275,10 @@
   /// Resends an operator's order until it is acknowledged.
   void order(const std::string &method, const std::function<void()> &done) {
     send(method, EvacuationPath, "", 0, [=, this](int status) {
-      constexpr Duration Pause = std::chrono::milliseconds(200);
+      constexpr Duration RetryPeriod = std::chrono::milliseconds(200);
       if (status == 200)
         return done();
-      OrderRetry = Loop.after(Pause, [=, this] { order(method, done); });
+      OrderRetry = Loop.after(RetryPeriod, [=, this] { order(method, done); });
     });
   }
 
@@ -287,82 +288,82 @@
       std::printf("%s: the evacuation of an unknown zone is refused\n",
                   good ? "ok" : "FAILED");
       Failures += good ? 0 : 1;
-      order("POST", [this] { enter(Phase::Evacuated); });
+      order("POST", [this] { enterPhase(Phase::Evacuated); });
     });
   }
 
   /// The zone of all servers is evacuated: callers are refused at once, and no
   /// server gets a request.
-  void judgeEvacuated() {
+  void checkEvacuated() {
     const bool refused = Status == 503 && Body == "no_server\n";
-    if (refused && ++RefusedInZone == 1)
-      InForceSince = Loop.now();
-    if (RefusedInZone < EvacuatedTimes)
-      return askAfter(std::chrono::milliseconds(50));
+    if (refused && ++ZoneRefusals == 1)
+      FirstRefusalAt = Loop.now();
+    if (ZoneRefusals < RequiredRefusals)
+      return sendRequestAfter(std::chrono::milliseconds(50));
     const std::size_t n =
-        Plain1.arrivals(InForceSince) + Plain2.arrivals(InForceSince);
+        Plain1.arrivals(FirstRefusalAt) + Plain2.arrivals(FirstRefusalAt);
     std::printf("%s: the servers of an evacuated zone received %zu requests\n",
                 n == 0 ? "ok" : "FAILED", n);
     Failures += n == 0 ? 0 : 1;
-    order("DELETE", [this] { enter(Phase::Restored); });
+    order("DELETE", [this] { enterPhase(Phase::Restored); });
   }
 
-  void judgeRestored() {
+  void checkRestored() {
     if (Status != 200)
-      return askAfter(std::chrono::milliseconds(50));
+      return sendRequestAfter(std::chrono::milliseconds(50));
     std::puts("ok: the restored zone is used again");
-    enter(Phase::Deadly);
+    enterPhase(Phase::Crashing);
   }
 
   /// A request that crashes the servers that run it is sent until it has been
   /// refused as quarantined five times.
-  void judgeDeadly() {
-    Held += Body == "quarantined\n" ? 1 : 0;
-    constexpr int HeldTimes = 5;
-    if (Held < HeldTimes)
-      return askAfter(std::chrono::milliseconds(50));
-    constexpr std::uint64_t MostCrashes = 5;
+  void checkCrashing() {
+    QuarantinedAnswers += Body == "quarantined\n" ? 1 : 0;
+    constexpr int RequiredAnswers = 5;
+    if (QuarantinedAnswers < RequiredAnswers)
+      return sendRequestAfter(std::chrono::milliseconds(50));
+    constexpr std::uint64_t MaxCrashes = 5;
     const std::uint64_t crashes = Plain1.crashes() + Plain2.crashes();
-    const bool good = crashes <= MostCrashes && Status == 502;
+    const bool good = crashes <= MaxCrashes && Status == 502;
     std::printf("%s: %s crashed %llu servers\n", good ? "ok" : "FAILED",
-                DeadlyPath, static_cast<unsigned long long>(crashes));
+                CrashPath, static_cast<unsigned long long>(crashes));
     Failures += good ? 0 : 1;
-    Plain1.nameLimit(LimitPerSecond);
-    Plain2.nameLimit(LimitPerSecond);
-    enter(Phase::Limited);
+    Plain1.reportLimit(LimitPerSecond);
+    Plain2.reportLimit(LimitPerSecond);
+    enterPhase(Phase::Limited);
   }
 
   /// Both plain servers report a limit: the entry receives it with the first
   /// answer of each, and requests a permit from the leader before each further
   /// request.
-  void judgeLimited() {
+  void checkLimited() {
     const TimePoint now = Loop.now();
-    if (now < PhaseBegan + LimitedTime)
-      return askAfter(std::chrono::milliseconds(20));
+    if (now < PhaseStart + LimitedDuration)
+      return sendRequestAfter(std::chrono::milliseconds(20));
     constexpr double Burst = 2;
     // One more request, since the limit is known only after the first answer.
-    const auto most = static_cast<std::size_t>(
-        LimitPerSecond * toSeconds(now - PhaseBegan) + Burst + 1);
-    const std::size_t n1 = Plain1.arrivals(PhaseBegan);
-    const std::size_t n2 = Plain2.arrivals(PhaseBegan);
-    const bool good = n1 <= most && n2 <= most && n1 + n2 >= 4;
+    const auto allowed = static_cast<std::size_t>(
+        LimitPerSecond * toSeconds(now - PhaseStart) + Burst + 1);
+    const std::size_t n1 = Plain1.arrivals(PhaseStart);
+    const std::size_t n2 = Plain2.arrivals(PhaseStart);
+    const bool good = n1 <= allowed && n2 <= allowed && n1 + n2 >= 4;
     std::printf("%s: limited servers received %zu and %zu requests, at most "
                 "%zu allowed\n",
-                good ? "ok" : "FAILED", n1, n2, most);
+                good ? "ok" : "FAILED", n1, n2, allowed);
     Failures += good ? 0 : 1;
-    enter(Phase::Rest);
+    enterPhase(Phase::Backoff);
   }
 
   /// Each server has received one request and asked for a backoff: the next
   /// caller is told when the first of them accepts requests again.
-  void judgeRest() {
+  void checkBackoff() {
     constexpr double LeastComeBack = 0.1;
-    const bool rests = Status == 503 && Body == "servers_rest\n";
+    const bool backsOff = Status == 503 && Body == "servers_rest\n";
     // If there was no permit for a server, it received no request, and the
     // entry doesn't know its backoff yet.
-    if (!rests && Loop.now() < PhaseBegan + std::chrono::seconds(2))
-      return enter(Phase::Rest);
-    const bool good = rests && ComeBack >= LeastComeBack;
+    if (!backsOff && Loop.now() < PhaseStart + std::chrono::seconds(2))
+      return enterPhase(Phase::Backoff);
+    const bool good = backsOff && ComeBack >= LeastComeBack;
     std::printf("%s: all servers back off, retry after %.1f s\n",
                 good ? "ok" : "FAILED", ComeBack);
     Failures += good ? 0 : 1;
@@ -374,16 +375,16 @@
     return it == Runs.end() ? 0 : it->second;
   }
 
-  void judge(UpstreamEnding ending) {
+  void checkExpectation(UpstreamEnding ending) {
     const Expectation &it = expectations()[Next];
     std::string body = it.Body == OwnId ? Id : it.Body;
-    const bool broke = ending != UpstreamEnding::Complete;
+    const bool brokeOff = ending != UpstreamEnding::Complete;
     const bool good =
         std::ranges::find(it.Statuses, Status) != it.Statuses.end() &&
         (body.empty() || body == Body) && runs() <= it.MaxRuns &&
-        broke == it.MustBreakOff;
+        brokeOff == it.MustBreakOff;
     std::printf("%s: %s status %d, runs %d%s\n", good ? "ok" : "FAILED",
-                it.Path, Status, runs(), broke ? ", broke off" : "");
+                it.Path, Status, runs(), brokeOff ? ", broke off" : "");
     Failures += good ? 0 : 1;
   }
 
@@ -396,25 +397,25 @@
   FakeServer Plain2;
   FakeServer Engine1;
   FakeServer Engine2;
-  std::unique_ptr<Timer> Beats;
+  std::unique_ptr<Timer> RegisterTimer;
   std::unique_ptr<Timer> Retry;
   std::unique_ptr<Timer> OrderRetry;
   std::uint64_t Sequence = 0;
   std::uint64_t Sent = 0;
-  std::uint64_t Asked = 0;
-  bool Accepted = false;
-  Phase Present = Phase::Expectations;
-  TimePoint PhaseBegan;
+  std::uint64_t RequestCount = 0;
+  bool DocumentAccepted = false;
+  Phase CurrentPhase = Phase::Expectations;
+  TimePoint PhaseStart;
   /// Number of refusals while the zone is evacuated, and the time of the first.
-  int RefusedInZone = 0;
-  TimePoint InForceSince;
+  int ZoneRefusals = 0;
+  TimePoint FirstRefusalAt;
   /// Retry-after of the last answer, in seconds; 0 without one.
   double ComeBack = 0;
   std::size_t Next = 0;
   std::string Id;
   int Status = 0;
   /// Number of answers that refused the crashing request as quarantined.
-  int Held = 0;
+  int QuarantinedAnswers = 0;
   std::string Body;
   int Failures = 0;
 };
@@ -433,7 +434,7 @@
     if (c == 'c')
       arguments.Control.emplace_back(optarg);
     else if (c == 'f')
-      arguments.Front = optarg;
+      arguments.Entry = optarg;
     else if (c == 'p')
       arguments.Plain = optarg;
     else if (c == 'e' && arguments.Engine.empty())
@@ -445,5 +446,5 @@
   }
   EventLoop loop;
   // A run that doesn't end has failed; the timeout of ctest stops it.
-  return Player(loop, arguments).run();
+  return PlatformSimulator(loop, arguments).run();
 }
--- a/test/platform/FakePlatformServers.cpp
+++ b/test/platform/FakePlatformServers.cpp
@@ -21,8 +21,8 @@
   return value ? *value : std::string();
 }
 
-std::string whole(const std::string &status, const std::string &headers,
-                  const std::string &body) {
+std::string makeResponse(const std::string &status, const std::string &headers,
+                         const std::string &body) {
   return "HTTP/1.1 " + status + "\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -131,14 +131,14 @@
 }
 
 void FakeServer::crash() {
-  constexpr Duration Pause = std::chrono::milliseconds(300);
+  constexpr Duration RestartDelay = std::chrono::milliseconds(300);
   ++Crashes;
   evconnlistener_free(std::exchange(Listener, nullptr));
   for (const auto &it : Channels)
     it->finish();
   Adapters.clear();
   Orders = 0;
-  Restart = Loop.after(Pause, [this] { listen(); });
+  Restart = Loop.after(RestartDelay, [this] { listen(); });
 }
 
 void FakeServer::onAccept(evconnlistener *, int fd, sockaddr *, int,
@@ -150,66 +150,73 @@
 
 void FakeServer::answer(Channel &channel, const RequestHead &head) {
   if (head.Target == "/-/report")
-    return channel.write(whole("200 OK", "", report()));
+    return channel.write(makeResponse("200 OK", "", report()));
   if (head.Target == "/-/order")
-    return channel.write(whole(takeOrder(channel.body()), "", ""));
+    return channel.write(makeResponse(handleOrder(channel.body()), "", ""));
   const std::string id = headerOf(head, "Pimentofront-Attempt-Id");
   Arrivals.push_back(Loop.now());
-  std::string echo = "Pimentofront-Attempt-Id: " + id + "\r\n";
+  std::string attemptHeader = "Pimentofront-Attempt-Id: " + id + "\r\n";
   if (Limit)
-    echo += "Server-Limit: " + std::to_string(*Limit) + "\r\n";
-  const std::string stamps = echo + "Pimentofront-Response-Stamp: s\r\n";
+    attemptHeader += "Server-Limit: " + std::to_string(*Limit) + "\r\n";
+  const std::string stampedHeaders =
+      attemptHeader + "Pimentofront-Response-Stamp: s\r\n";
   if (headerOf(head, "Pimentofront-Expect-Instance") != Instance)
-    return channel.write(whole("421 Misdirected Request", echo, ""));
+    return channel.write(
+        makeResponse("421 Misdirected Request", attemptHeader, ""));
   // The entry must not pass on the caller's key, and must replace the account
   // name that the caller sent by the one that it determined itself.
   if (!headerOf(head, "Pimentofront-Credential").empty() ||
       headerOf(head, "Pimentofront-Tenant") != TestAccount)
-    return channel.write(whole("500 Internal Server Error", stamps, "leaked"));
-  const std::string how = head.Target.substr(head.Target.rfind('/') + 1);
-  if (how == "shed")
-    return channel.write(whole("503 Service Unavailable",
-                               echo + "Pimentofront-Not-Executed: 1\r\n", ""));
-  if (how == "rest")
-    return channel.write(whole(
+    return channel.write(
+        makeResponse("500 Internal Server Error", stampedHeaders, "leaked"));
+  const std::string behaviour = head.Target.substr(head.Target.rfind('/') + 1);
+  if (behaviour == "shed")
+    return channel.write(
+        makeResponse("503 Service Unavailable",
+                     attemptHeader + "Pimentofront-Not-Executed: 1\r\n", ""));
+  if (behaviour == "rest")
+    return channel.write(makeResponse(
         "503 Service Unavailable",
-        echo + "Pimentofront-Not-Executed: 1\r\nRetry-After: 2.5\r\n", ""));
+        attemptHeader + "Pimentofront-Not-Executed: 1\r\nRetry-After: 2.5\r\n",
+        ""));
   const int runs = ++Runs[id];
-  if (how == "crash")
+  if (behaviour == "crash")
     return crash();
-  if (how == "fail" || (how == "fail-once" && runs == 1))
-    channel.write(whole("500 Internal Server Error", stamps, "sorry"));
-  else if (how == "cut") {
-    channel.writeAndClose("HTTP/1.1 200 OK\r\n" + stamps +
+  if (behaviour == "fail" || (behaviour == "fail-once" && runs == 1))
+    channel.write(
+        makeResponse("500 Internal Server Error", stampedHeaders, "sorry"));
+  else if (behaviour == "cut") {
+    channel.writeAndClose("HTTP/1.1 200 OK\r\n" + stampedHeaders +
                           "Content-Length: 100\r\n\r\nhalf");
-  } else if (how == "garbage") {
+  } else if (behaviour == "garbage") {
     channel.writeAndClose("\x01\x02 this is no answer\r\n\r\n");
-  } else if (how == "unstamped")
-    channel.write(whole("200 OK", echo, "forged"));
-  else if (how == "extra")
-    channel.write(whole("200 OK", stamps, id) +
-                  whole("200 OK", stamps, "second answer"));
-  else if (how == "late")
-    channel.write(whole("200 OK",
-                        "Pimentofront-Attempt-Id: earlier\r\n"
-                        "Pimentofront-Response-Stamp: s\r\n",
-                        "of another request") +
-                  whole("200 OK", stamps, id));
-  else if (how == "unframed") {
-    channel.writeAndClose("HTTP/1.1 200 OK\r\n" + stamps + "\r\n" + id);
-  } else if (how == "hang")
+  } else if (behaviour == "unstamped")
+    channel.write(makeResponse("200 OK", attemptHeader, "forged"));
+  else if (behaviour == "extra")
+    channel.write(makeResponse("200 OK", stampedHeaders, id) +
+                  makeResponse("200 OK", stampedHeaders, "second answer"));
+  else if (behaviour == "late")
+    channel.write(makeResponse("200 OK",
+                               "Pimentofront-Attempt-Id: earlier\r\n"
+                               "Pimentofront-Response-Stamp: s\r\n",
+                               "of another request") +
+                  makeResponse("200 OK", stampedHeaders, id));
+  else if (behaviour == "unframed") {
+    channel.writeAndClose("HTTP/1.1 200 OK\r\n" + stampedHeaders + "\r\n" + id);
+  } else if (behaviour == "hang")
     return;
-  else if (how == "stream" || how == "stream-cut")
-    answerStream(channel, head, stamps, how == "stream-cut" && runs == 1);
+  else if (behaviour == "stream" || behaviour == "stream-cut")
+    answerStream(channel, head, stampedHeaders,
+                 behaviour == "stream-cut" && runs == 1);
   else
-    channel.write(whole("200 OK", stamps, id));
+    channel.write(makeResponse("200 OK", stampedHeaders, id));
 }
 
 void FakeServer::answerStream(Channel &channel, const RequestHead &head,
-                              const std::string &stamps, bool cut) {
+                              const std::string &stampedHeaders, bool cut) {
   const std::string last = headerOf(head, "Last-Event-Id");
   int next = last.empty() ? 1 : std::stoi(last) + 1;
-  std::string out = "HTTP/1.1 200 OK\r\n" + stamps +
+  std::string out = "HTTP/1.1 200 OK\r\n" + stampedHeaders +
                     "Content-Type: text/event-stream\r\n"
                     "Transfer-Encoding: chunked\r\n\r\n";
   constexpr int CutAfter = 2;
@@ -239,7 +246,7 @@
       .dump();
 }
 
-std::string FakeServer::takeOrder(const std::string &body) {
+std::string FakeServer::handleOrder(const std::string &body) {
   const auto order = nlohmann::json::parse(body, nullptr, false);
   if (!order.is_object() || !order.contains("fence") ||
       order.value("holder", "").empty())
--- a/test/platform/FakePlatformServers.h
+++ b/test/platform/FakePlatformServers.h
@@ -31,7 +31,7 @@
   static std::string events();
   const std::string &instance() const { return Instance; }
   /// Reports a limit, in requests per second, in each answer from now on.
-  void nameLimit(double perSecond) { Limit = perSecond; }
+  void reportLimit(double perSecond) { Limit = perSecond; }
   /// \returns the number of requests that arrived at or after \p since.
   std::size_t arrivals(TimePoint since) const {
     return static_cast<std::size_t>(std::ranges::count_if(
@@ -39,7 +39,7 @@
   }
   /// \returns whether the simulated process runs. After a request crashed it,
   /// the server refuses connections for 300 ms and then acts as a new process.
-  bool up() const { return Listener != nullptr; }
+  bool isUp() const { return Listener != nullptr; }
   std::uint64_t crashes() const { return Crashes; }
   std::uint64_t orders() const { return Orders; }
   /// \returns when it started, in milliseconds since 1970 as servers report it.
@@ -53,9 +53,9 @@
   void crash();
   void answer(Channel &channel, const RequestHead &head);
   void answerStream(Channel &channel, const RequestHead &head,
-                    const std::string &stamps, bool cut);
+                    const std::string &stampedHeaders, bool cut);
   std::string report() const;
-  std::string takeOrder(const std::string &body);
+  std::string handleOrder(const std::string &body);
 
   EventLoop &Loop;
   HostPort Address;
--- a/test/platform/soak/Callers.cpp
+++ b/test/platform/soak/Callers.cpp
@@ -15,29 +15,29 @@
 constexpr Duration SendPeriod = milliseconds(15);
 constexpr Duration MarkerPeriod = milliseconds(250);
 /// Timeout that each caller sends with its request.
-constexpr Duration CallerTime = milliseconds(1500);
-/// Additional time after CallerTime by which an answer must have arrived in
+constexpr Duration CallerTimeout = milliseconds(1500);
+/// Additional time after CallerTimeout by which an answer must have arrived in
 /// calm periods.
 constexpr Duration AnswerSlack = milliseconds(700);
 /// Time without faults after which the guarantees for calm periods hold: the
 /// expiry of a lease and the election of a leader after it.
 constexpr Duration CalmTime = seconds(5);
 /// Number of consecutive good answers after which an entry counts as serving.
-constexpr std::uint32_t EnoughGood = 20;
-/// Time for which an entry that already served a document may still answer by
+constexpr std::uint32_t MinConsecutiveGood = 20;
+/// Time for which an entry that already used a document may still answer by
 /// the document before, for requests that it had accepted earlier.
 constexpr Duration RollbackSlack = milliseconds(250);
 
 /// Paths of requests; repeated ones are requested more often. The last segment
 /// selects the behaviour of the server.
-constexpr const char *UsualPaths[] = {
+constexpr const char *RequestPaths[] = {
     "/once/ok",     "/once/ok",   "/once/extra",  "/once/late",
     "/once/cut",    "/once/fail", "/once/shed",   "/once/unframed",
     "/once/hang",   "/safe/ok",   "/safe/ok",     "/safe/fail-once",
     "/safe/cut",    "/safe/ok",   "/flow/stream", "/flow/stream-cut",
     "/flow/stream", "/flow/ok",   "/brook/stream"};
 
-bool endsWell(const std::string &path) {
+bool expectsSuccess(const std::string &path) {
   return path.ends_with("/ok") || path.ends_with("/stream");
 }
 
@@ -45,13 +45,13 @@
 
 Callers::Callers(EventLoop &loop, Deployment &deployment, FaultPlan &faults,
                  Operator &changes, std::uint64_t seed, Report &report)
-    : Loop(loop), World(deployment), Faults(faults), Changes(changes),
-      Numbers(seed), Seen(report), Pool(loop, {}, *this), BegunAt(loop.now()),
-      Entries(deployment.fronts().size()),
+    : Loop(loop), System(deployment), Faults(faults), DocumentOperator(changes),
+      Rng(seed), Results(report), Pool(loop, {}, *this), StartedAt(loop.now()),
+      Entries(deployment.entryListeners().size()),
       Sender(loop.every(SendPeriod, [this] { sendOne(); })),
       MarkerSender(loop.every(MarkerPeriod, [this] { sendMarker(); })) {}
 
-int Callers::mostRunsOf(const std::string &path) {
+int Callers::maxRuns(const std::string &path) {
   const bool once = path.starts_with("/once/") || path.starts_with("/brook/");
   return once ? 1 : 2;
 }
@@ -67,45 +67,45 @@
 
 void Callers::sendOne() {
   Request request;
-  request.Path = UsualPaths[Numbers.next() % std::size(UsualPaths)];
-  request.Entry = Numbers.next() % Entries.size();
+  request.Path = RequestPaths[Rng.next() % std::size(RequestPaths)];
+  request.Entry = Rng.next() % Entries.size();
   send(std::move(request));
 }
 
 void Callers::sendMarker() {
-  const std::uint64_t version = Changes.acknowledged();
+  const std::uint64_t version = DocumentOperator.acknowledged();
   if (version == 0)
     return;
   Request request;
   request.Marker = version;
   request.Path = "/m" + std::to_string(version) + "/ok";
-  request.Entry = Numbers.next() % Entries.size();
+  request.Entry = Rng.next() % Entries.size();
   send(std::move(request));
 }
 
 void Callers::send(Request request) {
   const TimePoint now = Loop.now();
-  const auto &[address, daemon] = World.fronts()[request.Entry];
+  const auto &[address, daemon] = System.entryListeners()[request.Entry];
   request.Id = "r" + std::to_string(++LastId);
   request.SentAt = now;
-  request.SentCalm = isCalm(now, CalmTime);
+  request.SentInCalmPeriod = isCalm(now, CalmTime);
   request.EntryStart = daemon->Process.starts();
   Paths[request.Id] = request.Path;
   constexpr int Adapters = 6;
-  RequestHead head{"POST",
-                   request.Path,
-                   {{"Host", "test.example"},
-                    {"Pimentofront-Attempt-Id", request.Id},
-                    {"Pimentofront-Credential", testkit::TestKey},
-                    {"Pimentofront-Model",
-                     "m0/a" + std::to_string(Numbers.next() % Adapters)},
-                    {"Pimentofront-Token-Usage", "100,10"},
-                    {"Pimentofront-Prompt-Prefix", "a1:60,b2:40"},
-                    {"Pimentofront-Deadline-Ms",
-                     std::to_string(CallerTime / milliseconds(1))}}};
+  RequestHead head{
+      "POST",
+      request.Path,
+      {{"Host", "test.example"},
+       {"Pimentofront-Attempt-Id", request.Id},
+       {"Pimentofront-Credential", testkit::TestKey},
+       {"Pimentofront-Model", "m0/a" + std::to_string(Rng.next() % Adapters)},
+       {"Pimentofront-Token-Usage", "100,10"},
+       {"Pimentofront-Prompt-Prefix", "a1:60,b2:40"},
+       {"Pimentofront-Deadline-Ms",
+        std::to_string(CallerTimeout / milliseconds(1))}}};
   const AttemptId attempt{1, LastId};
-  UnderWay.emplace(attempt, std::move(request));
-  ++Seen.Counts["requests"];
+  InFlight.emplace(attempt, std::move(request));
+  ++Results.Counts["requests"];
   Pool.send({.Attempt = attempt,
              .Address = address.Ip + ":" + std::to_string(address.Port),
              .Head = std::move(head),
@@ -117,120 +117,129 @@
 //===----------------------------------------------------------------------===//
 
 HeadVerdict Callers::onHead(const AttemptId &attempt, ResponseHead head) {
-  UnderWay.at(attempt).Status = head.Status;
+  InFlight.at(attempt).Status = head.Status;
   return HeadVerdict::Take;
 }
 
 void Callers::onBody(const AttemptId &attempt, std::string_view bytes) {
-  UnderWay.at(attempt).Body += bytes;
+  InFlight.at(attempt).Body += bytes;
 }
 
 void Callers::onEnd(const AttemptId &attempt, UpstreamEnding ending) {
-  const auto node = UnderWay.extract(attempt);
+  const auto node = InFlight.extract(attempt);
   const Request &request = node.mapped();
-  judgeTime(request);
+  checkDuration(request);
   if (ending != UpstreamEnding::Complete) {
-    ++Seen.Counts["answers that were incomplete"];
-    Entries[request.Entry].GoodInARow = 0;
+    ++Results.Counts["answers that were incomplete"];
+    Entries[request.Entry].ConsecutiveGood = 0;
     return;
   }
-  ++Seen.Counts["answers with " + std::to_string(request.Status)];
-  judge(request);
+  ++Results.Counts["answers with " + std::to_string(request.Status)];
+  checkAnswer(request);
   if (request.Marker != 0)
-    judgeMarker(request);
+    checkMarker(request);
 }
 
-void Callers::broke(const Request &request, const std::string &what) {
-  Seen.broke(BegunAt, Loop.now(),
-             request.Id + " " + request.Path + " through " +
-                 World.fronts()[request.Entry].second->Name + ": " + what);
+void Callers::addViolation(const Request &request, const std::string &what) {
+  Results.addViolation(StartedAt, Loop.now(),
+                       request.Id + " " + request.Path + " through " +
+                           System.entryListeners()[request.Entry].second->Name +
+                           ": " + what);
 }
 
-void Callers::judgeTime(const Request &request) {
+void Callers::checkDuration(const Request &request) {
   const Duration took = Loop.now() - request.SentAt;
-  if (request.SentCalm && isCalm(Loop.now(), CalmTime) &&
-      took > CallerTime + AnswerSlack)
-    broke(request, "took " + std::to_string(took.count() / 1000) + " ms");
+  if (request.SentInCalmPeriod && isCalm(Loop.now(), CalmTime) &&
+      took > CallerTimeout + AnswerSlack)
+    addViolation(request,
+                 "took " + std::to_string(took.count() / 1000) + " ms");
 }
 
-void Callers::judge(const Request &request) {
+void Callers::checkAnswer(const Request &request) {
   EntryView &view = Entries[request.Entry];
   const bool good = request.Status == StatusOk;
-  if (endsWell(request.Path) && request.Marker == 0)
-    view.GoodInARow = good ? view.GoodInARow + 1 : 0;
+  if (expectsSuccess(request.Path) && request.Marker == 0)
+    view.ConsecutiveGood = good ? view.ConsecutiveGood + 1 : 0;
   if (request.Status == StatusUnavailable)
     Refused.push_back(request.Id);
   if (request.Status == StatusNotFound && request.Marker == 0)
-    broke(request, "404 for a route that is in every document");
+    addViolation(request, "404 for a route that is in every document");
   if (!good)
     return;
   const bool stream = request.Path.find("/stream") != std::string::npos;
   const std::string expected =
       stream ? testkit::FakeServer::events() : request.Id;
   if (request.Body != expected)
-    broke(request,
-          std::string("body differs from the one that the server sent: ")
-              .append(request.Body));
+    addViolation(request,
+                 std::string("body differs from the one that the server sent: ")
+                     .append(request.Body));
 }
 
-void Callers::judgeMarker(const Request &request) {
+void Callers::checkMarker(const Request &request) {
   EntryView &view = Entries[request.Entry];
   if (view.Start != request.EntryStart)
-    view = {.Start = request.EntryStart, .GoodInARow = view.GoodInARow};
+    view = {.Start = request.EntryStart,
+            .ConsecutiveGood = view.ConsecutiveGood};
   const TimePoint now = Loop.now();
   if (request.Status == StatusOk) {
-    const bool afterNewer = request.Marker < view.Newest &&
-                            request.SentAt > view.SeenAt + RollbackSlack;
+    const bool afterNewer = request.Marker < view.NewestVersion &&
+                            request.SentAt > view.NewestSeenAt + RollbackSlack;
     if (afterNewer)
-      broke(request, "served by an older document than an earlier request");
-    if (request.Marker > view.Newest) {
-      view.Newest = request.Marker;
-      view.SeenAt = now;
+      addViolation(request,
+                   "served by an older document than an earlier request");
+    if (request.Marker > view.NewestVersion) {
+      view.NewestVersion = request.Marker;
+      view.NewestSeenAt = now;
     }
     return;
   }
-  const bool current =
-      request.Marker == Changes.acknowledged() && !Changes.changeUnderWay();
-  const bool due = request.SentAt >= Changes.acknowledgedAt() + InForceBound;
-  if (request.Status == StatusNotFound && current && due && request.SentCalm)
-    broke(request, "404 although its document was acknowledged in time");
+  const bool current = request.Marker == DocumentOperator.acknowledged() &&
+                       !DocumentOperator.hasPendingChange();
+  const bool due =
+      request.SentAt >= DocumentOperator.acknowledgedAt() + InForceBound;
+  if (request.Status == StatusNotFound && current && due &&
+      request.SentInCalmPeriod)
+    addViolation(request, "404 although its document was acknowledged in time");
 }
 
 //===----------------------------------------------------------------------===//
 // Results
 //===----------------------------------------------------------------------===//
 
-bool Callers::served() const {
-  return std::ranges::all_of(
-      Entries, [](const EntryView &it) { return it.GoodInARow >= EnoughGood; });
+bool Callers::isServing() const {
+  return std::ranges::all_of(Entries, [](const EntryView &it) {
+    return it.ConsecutiveGood >= MinConsecutiveGood;
+  });
 }
 
-void Callers::brokeRun(const std::string &id, const std::string &what) {
-  Seen.broke(BegunAt, Loop.now(), id + " " + Paths.at(id) + " " + what);
+void Callers::addRunViolation(const std::string &id, const std::string &what) {
+  Results.addViolation(StartedAt, Loop.now(),
+                       id + " " + Paths.at(id) + " " + what);
 }
 
 void Callers::checkRuns() {
   const auto runsOf = [&](const std::string &id) {
-    const auto it = World.runs().find(id);
-    return it == World.runs().end() ? 0 : it->second;
+    const auto it = System.runs().find(id);
+    return it == System.runs().end() ? 0 : it->second;
   };
   for (const auto &[id, path] : Paths)
-    if (runsOf(id) > mostRunsOf(path))
-      brokeRun(id, "ran " + std::to_string(runsOf(id)) + " times");
+    if (runsOf(id) > maxRuns(path))
+      addRunViolation(id, "ran " + std::to_string(runsOf(id)) + " times");
   for (const std::string &id : Refused)
     if (runsOf(id) > 0)
-      brokeRun(id, "ran although it was refused");
-  for (const auto &[attempt, it] : UnderWay)
-    broke(it,
-          "sent " + std::to_string((Loop.now() - it.SentAt).count() / 1000) +
-              " ms ago, still in flight; status " + std::to_string(it.Status) +
-              ", " + std::to_string(it.Body.size()) + " B so far");
+      addRunViolation(id, "ran although it was refused");
+  for (const auto &[attempt, it] : InFlight)
+    addViolation(
+        it, "sent " + std::to_string((Loop.now() - it.SentAt).count() / 1000) +
+                " ms ago, still in flight; status " +
+                std::to_string(it.Status) + ", " +
+                std::to_string(it.Body.size()) + " B so far");
 }
 
 std::string Callers::state() const {
   std::string text;
   for (const EntryView &it : Entries)
-    text += " " + std::to_string(it.GoodInARow);
+    text += " " + std::to_string(it.ConsecutiveGood);
   return "consecutive good answers by entry:" + text;
 }
 
--- a/test/platform/soak/Callers.h
+++ b/test/platform/soak/Callers.h
@@ -15,14 +15,14 @@
           Operator &changes, std::uint64_t seed, Report &report);
 
   /// Stops sending; requests in flight continue.
-  void end() {
+  void stopSending() {
     Sender.reset();
     MarkerSender.reset();
   }
   /// \returns whether the last requests through each entry were all answered
   /// well.
-  bool served() const;
-  /// \returns the counts that decide served(), for the report.
+  bool isServing() const;
+  /// \returns the counts that decide isServing(), for the report.
   std::string state() const;
   /// Checks how often each request ran, and that each one has ended. To be
   /// called once no request is in flight any more.
@@ -42,41 +42,42 @@
     std::uint64_t Marker = 0;
     TimePoint SentAt;
     /// Whether there was no fault for CalmTime before it was sent.
-    bool SentCalm = false;
+    bool SentInCalmPeriod = false;
     int Status = 0;
     std::string Body;
   };
   /// Observations of one incarnation of an entry.
   struct EntryView {
     std::uint32_t Start = 0;
-    /// Newest document version that the entry served, and when this was seen.
-    std::uint64_t Newest = 0;
-    TimePoint SeenAt;
-    std::uint32_t GoodInARow = 0;
+    /// Newest document version that was seen in use, and when it was seen
+    /// first.
+    std::uint64_t NewestVersion = 0;
+    TimePoint NewestSeenAt;
+    std::uint32_t ConsecutiveGood = 0;
   };
 
   void sendOne();
   void sendMarker();
   void send(Request request);
   bool isCalm(TimePoint now, Duration time) const;
-  void judge(const Request &request);
-  void judgeMarker(const Request &request);
-  void judgeTime(const Request &request);
-  void broke(const Request &request, const std::string &what);
-  void brokeRun(const std::string &id, const std::string &what);
+  void checkAnswer(const Request &request);
+  void checkMarker(const Request &request);
+  void checkDuration(const Request &request);
+  void addViolation(const Request &request, const std::string &what);
+  void addRunViolation(const std::string &id, const std::string &what);
   /// \returns how often a request for \p path may run.
-  static int mostRunsOf(const std::string &path);
+  static int maxRuns(const std::string &path);
 
   EventLoop &Loop;
-  Deployment &World;
+  Deployment &System;
   FaultPlan &Faults;
-  Operator &Changes;
-  Random Numbers;
-  Report &Seen;
+  Operator &DocumentOperator;
+  Random Rng;
+  Report &Results;
   UpstreamPool Pool;
-  TimePoint BegunAt;
+  TimePoint StartedAt;
   std::uint64_t LastId = 0;
-  std::map<AttemptId, Request> UnderWay;
+  std::map<AttemptId, Request> InFlight;
   std::vector<EntryView> Entries;
   /// Paths of all requests by id, and the ids of the requests that were refused
   /// and thus must not have run.
--- a/test/platform/soak/Deployment.cpp
+++ b/test/platform/soak/Deployment.cpp
@@ -7,7 +7,14 @@
 namespace {
 
 /// Offsets from the first port; the same on all hosts.
-enum Port : std::uint16_t { Peers, PeersListen, Http, Front, App, AppListen };
+enum Port : std::uint16_t {
+  Peers,
+  PeersListen,
+  Http,
+  EntryListen,
+  Backend,
+  BackendListen
+};
 
 std::string replicaIp(int i) { return "127.0.1." + std::to_string(i + 1); }
 std::string entryIp(int i) { return "127.0.2." + std::to_string(i + 1); }
@@ -25,8 +32,8 @@
     : Loop(loop), Options(options) {
   // Other objects hold pointers to the elements, so the vector must not grow
   // beyond this capacity.
-  constexpr std::size_t MostDaemons = 400;
-  Daemons.reserve(MostDaemons);
+  constexpr std::size_t MaxDaemons = 400;
+  Daemons.reserve(MaxDaemons);
   addReplicas();
   addEntries();
   addEngines();
@@ -35,7 +42,8 @@
     it.Process.start();
 }
 
-HostPort Deployment::at(const std::string &ip, std::uint16_t offset) const {
+HostPort Deployment::addressOf(const std::string &ip,
+                               std::uint16_t offset) const {
   return {ip, static_cast<std::uint16_t>(Options.FirstPort + offset)};
 }
 
@@ -47,12 +55,12 @@
                                const std::string &parts) const {
   std::string replicas;
   for (int i = 0; i < Options.Replicas; ++i)
-    replicas += (i ? ", " : "") + quoted(text(at(replicaIp(i), Peers)));
+    replicas += (i ? ", " : "") + quoted(text(addressOf(replicaIp(i), Peers)));
   std::ofstream file(settingsFile(name));
   file << "{\"host\": " << quoted(name)
-       << ", \"zone\": \"z\", \"http\": " << quoted(text(at(ip, Http)))
-       << ", \"peers\": " << quoted(text(at(ip, Peers)))
-       << ", \"peers_listen\": " << quoted(text(at(ip, PeersListen)))
+       << ", \"zone\": \"z\", \"http\": " << quoted(text(addressOf(ip, Http)))
+       << ", \"peers\": " << quoted(text(addressOf(ip, Peers)))
+       << ", \"peers_listen\": " << quoted(text(addressOf(ip, PeersListen)))
        << ", \"replicas\": [" << replicas
        << "], \"member_lease_ms\": 4000, \"renew_period_ms\": 1200, "
           "\"stop_notice_ms\": 200, \"grace_s\": 4, "
@@ -66,8 +74,8 @@
       {.Name = name,
        .Process = Child({Options.Daemon, "--settings", settingsFile(name)},
                         Options.Folder + "/" + name + ".log"),
-       .Peers = std::make_unique<TcpProxy>(Loop, at(ip, Peers),
-                                           at(ip, PeersListen))});
+       .PeerProxy = std::make_unique<TcpProxy>(Loop, addressOf(ip, Peers),
+                                               addressOf(ip, PeersListen))});
   return Daemons.back();
 }
 
@@ -85,39 +93,40 @@
     const std::string name = "replica-" + std::to_string(i);
     addDaemon(name, replicaIp(i), replicaParts(name, /*bootstrap=*/true))
         .IsReplica = true;
-    Controls.push_back(at(replicaIp(i), Http));
+    ControlAddresses.push_back(addressOf(replicaIp(i), Http));
   }
 }
 
 void Deployment::addEntries() {
   for (int i = 0; i < Options.Entries; ++i) {
-    const HostPort front = at(entryIp(i), Front);
+    const HostPort listen = addressOf(entryIp(i), EntryListen);
     Daemon &it =
         addDaemon("entry-" + std::to_string(i), entryIp(i),
-                  "\"forward\": {\"listen\": " + quoted(text(front)) + "}");
-    Fronts.emplace_back(front, &it);
+                  "\"forward\": {\"listen\": " + quoted(text(listen)) + "}");
+    EntryListeners.emplace_back(listen, &it);
   }
 }
 
 void Deployment::addServer(const std::string &ip, const std::string &service) {
   const std::string instance = "i-" + service + std::to_string(Servers.size());
-  Servers.push_back({.Service = service,
-                     .Registered = at(ip, App),
-                     .Fake = std::make_unique<testkit::FakeServer>(
-                         Loop, at(ip, AppListen), instance, Runs),
-                     .Calls = std::make_unique<TcpProxy>(Loop, at(ip, App),
-                                                         at(ip, AppListen))});
+  Servers.push_back(
+      {.Service = service,
+       .RegisteredAddress = addressOf(ip, Backend),
+       .Fake = std::make_unique<testkit::FakeServer>(
+           Loop, addressOf(ip, BackendListen), instance, Runs),
+       .RequestProxy = std::make_unique<TcpProxy>(
+           Loop, addressOf(ip, Backend), addressOf(ip, BackendListen))});
 }
 
 void Deployment::addEngines() {
   for (int i = 0; i < Options.Engines; ++i) {
     addServer(engineIp(i), "engines");
-    addDaemon(
-        "agent-" + std::to_string(i), engineIp(i),
-        "\"agent\": {\"engine\": " + quoted(text(at(engineIp(i), AppListen))) +
-            ", \"engine_interface\": \"orders\", \"engine_settle_ms\": "
-            "0, \"engine_probe_ms\": 100, \"base_model\": \"engines\", "
-            "\"company_share\": 0}");
+    addDaemon("agent-" + std::to_string(i), engineIp(i),
+              "\"agent\": {\"engine\": " +
+                  quoted(text(addressOf(engineIp(i), BackendListen))) +
+                  ", \"engine_interface\": \"orders\", \"engine_settle_ms\": "
+                  "0, \"engine_probe_ms\": 100, \"base_model\": \"engines\", "
+                  "\"company_share\": 0}");
   }
 }
 
@@ -129,13 +138,13 @@
 std::vector<TcpProxy *> Deployment::proxies() {
   std::vector<TcpProxy *> result;
   for (Daemon &it : Daemons)
-    result.push_back(it.Peers.get());
+    result.push_back(it.PeerProxy.get());
   for (Server &it : Servers)
-    result.push_back(it.Calls.get());
+    result.push_back(it.RequestProxy.get());
   return result;
 }
 
-void Deployment::wipe(const Daemon &replica) {
+void Deployment::deleteData(const Daemon &replica) {
   std::filesystem::remove_all(Options.Folder + "/" + replica.Name + ".data");
 }
 
--- a/test/platform/soak/Deployment.h
+++ b/test/platform/soak/Deployment.h
@@ -26,16 +26,16 @@
 struct Daemon {
   std::string Name;
   Child Process;
-  std::unique_ptr<TcpProxy> Peers;
+  std::unique_ptr<TcpProxy> PeerProxy;
   bool IsReplica = false;
 };
 
 /// A backend server with the proxy through which entries reach it.
 struct Server {
   std::string Service;
-  HostPort Registered;
+  HostPort RegisteredAddress;
   std::unique_ptr<testkit::FakeServer> Fake;
-  std::unique_ptr<TcpProxy> Calls;
+  std::unique_ptr<TcpProxy> RequestProxy;
 };
 
 /// \class Deployment
@@ -50,15 +50,17 @@
   std::vector<Server> &servers() { return Servers; }
   std::vector<TcpProxy *> proxies();
   /// \returns the addresses that the operator and the backend servers call.
-  const std::vector<HostPort> &controls() const { return Controls; }
+  const std::vector<HostPort> &controlAddresses() const {
+    return ControlAddresses;
+  }
   /// \returns the addresses that callers connect to, with their daemons.
-  const std::vector<std::pair<HostPort, Daemon *>> &fronts() const {
-    return Fronts;
+  const std::vector<std::pair<HostPort, Daemon *>> &entryListeners() const {
+    return EntryListeners;
   }
   /// \returns how often each request ran, on all backend servers together.
   const std::map<std::string, int> &runs() const { return Runs; }
   /// Deletes the data folder of a replica that doesn't run.
-  void wipe(const Daemon &replica);
+  void deleteData(const Daemon &replica);
   /// Disables bootstrap in the replicas' settings: a replica that starts with
   /// an empty disk joins the group from now on.
   void endBootstrap();
@@ -75,14 +77,14 @@
   std::string replicaParts(const std::string &name, bool bootstrap) const;
   void writeSettings(const std::string &name, const std::string &ip,
                      const std::string &parts) const;
-  HostPort at(const std::string &ip, std::uint16_t offset) const;
+  HostPort addressOf(const std::string &ip, std::uint16_t offset) const;
 
   EventLoop &Loop;
   DeploymentOptions Options;
   std::vector<Daemon> Daemons;
   std::vector<Server> Servers;
-  std::vector<HostPort> Controls;
-  std::vector<std::pair<HostPort, Daemon *>> Fronts;
+  std::vector<HostPort> ControlAddresses;
+  std::vector<std::pair<HostPort, Daemon *>> EntryListeners;
   std::map<std::string, int> Runs;
 };
 
--- a/test/platform/soak/FaultPlan.h
+++ b/test/platform/soak/FaultPlan.h
@@ -27,7 +27,7 @@
   std::optional<TimePoint> calmSince() const;
 
 private:
-  struct Pending {
+  struct ScheduledAction {
     TimePoint At;
     std::function<void()> Action;
   };
@@ -37,21 +37,21 @@
   void disturbProxy(TimePoint now);
   void signalProcess(TimePoint now);
   void loseDisk(TimePoint now);
-  void later(TimePoint at, std::function<void()> action);
-  void note(TimePoint now, const std::string &what);
-  Duration between(Duration least, Duration most);
-  std::size_t draw(std::size_t n);
+  void schedule(TimePoint at, std::function<void()> action);
+  void recordFault(TimePoint now, const std::string &what);
+  Duration randomDuration(Duration least, Duration most);
+  std::size_t randomIndex(std::size_t n);
 
   EventLoop &Loop;
-  Deployment &World;
-  Random Numbers;
-  Report &Seen;
-  TimePoint BegunAt;
+  Deployment &System;
+  Random Rng;
+  Report &Results;
+  TimePoint StartedAt;
   bool Active = false;
-  TimePoint NextAt;
-  TimePoint LastAt;
-  TimePoint DiskSafeAt;
-  std::vector<Pending> Ends;
+  TimePoint NextFaultAt;
+  TimePoint LastFaultAt;
+  TimePoint NextDiskLossAt;
+  std::vector<ScheduledAction> ScheduledActions;
   std::unique_ptr<Timer> Ticker;
 };
 
--- a/test/platform/soak/Operator.cpp
+++ b/test/platform/soak/Operator.cpp
@@ -9,7 +9,7 @@
 
 constexpr int StatusOk = 200;
 constexpr int StatusRedirection = 300;
-constexpr Duration BeatPeriod = milliseconds(700);
+constexpr Duration RegisterPeriod = milliseconds(700);
 constexpr Duration ChangePeriod = milliseconds(900);
 constexpr Duration ReadPeriod = milliseconds(300);
 constexpr Duration CallTimeout = std::chrono::seconds(1);
@@ -32,33 +32,36 @@
 
 Operator::Operator(EventLoop &loop, Deployment &deployment, std::uint64_t seed,
                    Report &report)
-    : Loop(loop), World(deployment), Numbers(seed), Seen(report), Client(loop),
-      BegunAt(loop.now()), Beater(loop.every(BeatPeriod, [this] { beat(); })),
-      Changer(loop.every(ChangePeriod, [this] { change(); })),
-      Reader(loop.every(ReadPeriod, [this] { readBack(); })) {
-  beat();
+    : Loop(loop), System(deployment), Rng(seed), Results(report), Client(loop),
+      StartedAt(loop.now()),
+      RegisterTimer(loop.every(RegisterPeriod, [this] { registerServers(); })),
+      ChangeTimer(loop.every(ChangePeriod, [this] { change(); })),
+      ReadTimer(loop.every(ReadPeriod, [this] { readBack(); })) {
+  registerServers();
 }
 
-void Operator::beat() {
-  ++Beats;
-  for (const Server &it : World.servers())
-    put(it, it.Fake->instance(), Numbers.next() % World.controls().size());
+void Operator::registerServers() {
+  ++Sequence;
+  for (const Server &it : System.servers())
+    registerServer(it, it.Fake->instance(),
+                   Rng.next() % System.controlAddresses().size());
 }
 
-void Operator::put(const Server &server, const std::string &id,
-                   std::size_t at) {
+void Operator::registerServer(const Server &server, const std::string &id,
+                              std::size_t at) {
   const nlohmann::json body = {
       {"backend", server.Service},
-      {"address",
-       server.Registered.Ip + ":" + std::to_string(server.Registered.Port)},
+      {"address", server.RegisteredAddress.Ip + ":" +
+                      std::to_string(server.RegisteredAddress.Port)},
       {"zone", "z"},
       {"slots", 8},
       {"state", "ready"},
-      {"seq", Beats}};
+      {"seq", Sequence}};
   // Failed calls are ignored: the next period registers the server again.
   for (std::size_t i = 0; i < 2; ++i)
     Client.start(
-        {.Address = World.controls()[(at + i) % World.controls().size()],
+        {.Address = System.controlAddresses()[(at + i) %
+                                              System.controlAddresses().size()],
          .Method = "PUT",
          .Path = "/-/instances/" + id,
          .Headers = {{"Content-Type", "application/json"}},
@@ -71,72 +74,74 @@
 void Operator::change() {
   if (InFlight || (!Changing && Acknowledged > 0))
     return;
-  constexpr std::uint64_t LargestStep = 5;
-  Sending += 1 + Numbers.next() % LargestStep;
+  constexpr std::uint64_t MaxVersionStep = 5;
+  SentVersion += 1 + Rng.next() % MaxVersionStep;
   InFlight = true;
   sendChange(0);
 }
 
 /// Sends the change to one replica after another until it is acknowledged.
 void Operator::sendChange(std::size_t attempt) {
-  const std::size_t at = attempt % World.controls().size();
-  Client.start({.Address = World.controls()[at],
-                .Method = "PUT",
-                .Path = "/-/config",
-                .Headers = {{"Content-Type", "application/json"}},
-                .Body = document(Sending).dump(),
-                .Timeout = CallTimeout,
-                .FreshConnection = true,
-                .OnEnd = [this, attempt](const HttpAnswer &answer) {
-                  if (isGood(answer)) {
-                    Acknowledged = Sending;
-                    AcknowledgedAt = Loop.now();
-                    InFlight = false;
-                    ++Seen.Counts["changes acknowledged"];
-                    return;
-                  }
-                  constexpr int ClientError = 400;
-                  constexpr int ServerError = 500;
-                  const bool refused = answer.Status >= ClientError &&
-                                       answer.Status < ServerError;
-                  if (answer.Ending == HttpEnding::Complete && refused)
-                    Seen.broke(BegunAt, Loop.now(),
-                               "a valid change was refused with status " +
-                                   std::to_string(answer.Status));
-                  Retry = Loop.after(
-                      RetryPause, [this, attempt] { sendChange(attempt + 1); });
-                }});
+  const std::size_t at = attempt % System.controlAddresses().size();
+  Client.start(
+      {.Address = System.controlAddresses()[at],
+       .Method = "PUT",
+       .Path = "/-/config",
+       .Headers = {{"Content-Type", "application/json"}},
+       .Body = document(SentVersion).dump(),
+       .Timeout = CallTimeout,
+       .FreshConnection = true,
+       .OnEnd = [this, attempt](const HttpAnswer &answer) {
+         if (isGood(answer)) {
+           Acknowledged = SentVersion;
+           AcknowledgedAt = Loop.now();
+           InFlight = false;
+           ++Results.Counts["changes acknowledged"];
+           return;
+         }
+         constexpr int ClientError = 400;
+         constexpr int ServerError = 500;
+         const bool refused =
+             answer.Status >= ClientError && answer.Status < ServerError;
+         if (answer.Ending == HttpEnding::Complete && refused)
+           Results.addViolation(StartedAt, Loop.now(),
+                                "a valid change was refused with status " +
+                                    std::to_string(answer.Status));
+         Retry = Loop.after(RetryPause,
+                            [this, attempt] { sendChange(attempt + 1); });
+       }});
 }
 
 void Operator::readBack() {
-  const std::uint64_t atLeast =
+  const std::uint64_t minVersion =
       Loop.now() >= AcknowledgedAt + InForceBound ? Acknowledged : 0;
-  for (const HostPort &it : World.controls())
+  for (const HostPort &it : System.controlAddresses())
     Client.start({.Address = it,
                   .Method = "GET",
                   .Path = "/-/config",
                   .Timeout = CallTimeout,
                   .FreshConnection = true,
-                  .OnEnd = [this, atLeast](const HttpAnswer &answer) {
-                    onRead(answer, atLeast);
+                  .OnEnd = [this, minVersion](const HttpAnswer &answer) {
+                    onRead(answer, minVersion);
                   }});
 }
 
-void Operator::onRead(const HttpAnswer &answer, std::uint64_t atLeast) {
+void Operator::onRead(const HttpAnswer &answer, std::uint64_t minVersion) {
   if (!isGood(answer))
     return;
-  ++Seen.Counts["documents read back"];
+  ++Results.Counts["documents read back"];
   const auto json = nlohmann::json::parse(answer.Body, nullptr, false);
   const std::uint64_t version =
       json.is_object() ? json.value("version", std::uint64_t(0)) : 0;
-  if (version < atLeast)
-    Seen.broke(BegunAt, Loop.now(),
-               "version " + std::to_string(version) + " was read although " +
-                   std::to_string(atLeast) + " was acknowledged");
+  if (version < minVersion)
+    Results.addViolation(StartedAt, Loop.now(),
+                         "version " + std::to_string(version) +
+                             " was read although " +
+                             std::to_string(minVersion) + " was acknowledged");
   else if (version > 0 && json != document(version))
-    Seen.broke(BegunAt, Loop.now(),
-               "version " + std::to_string(version) +
-                   " differs from the document that was sent");
+    Results.addViolation(StartedAt, Loop.now(),
+                         "version " + std::to_string(version) +
+                             " differs from the document that was sent");
 }
 
 } // namespace pimentofront::soak
--- a/test/platform/soak/Operator.h
+++ b/test/platform/soak/Operator.h
@@ -23,39 +23,40 @@
 
   /// Starts changing the document.
   void begin() { Changing = true; }
-  void end() { Changing = false; }
+  void stopChanging() { Changing = false; }
   /// \returns the newest acknowledged version; acknowledgedAt() is the time of
   /// its acknowledgement.
   std::uint64_t acknowledged() const { return Acknowledged; }
   TimePoint acknowledgedAt() const { return AcknowledgedAt; }
   /// \returns whether a newer version has been sent, which may be in force
   /// already.
-  bool changeUnderWay() const { return Sending > Acknowledged; }
+  bool hasPendingChange() const { return SentVersion > Acknowledged; }
   /// Reads the document from each replica and checks it.
   void readBack();
 
 private:
-  void beat();
+  void registerServers();
   void change();
   void sendChange(std::size_t attempt);
-  void put(const Server &server, const std::string &id, std::size_t at);
-  void onRead(const HttpAnswer &answer, std::uint64_t atLeast);
+  void registerServer(const Server &server, const std::string &id,
+                      std::size_t at);
+  void onRead(const HttpAnswer &answer, std::uint64_t minVersion);
 
   EventLoop &Loop;
-  Deployment &World;
-  Random Numbers;
-  Report &Seen;
+  Deployment &System;
+  Random Rng;
+  Report &Results;
   HttpClient Client;
-  TimePoint BegunAt;
+  TimePoint StartedAt;
   bool Changing = false;
-  std::uint64_t Beats = 0;
-  std::uint64_t Sending = 0;
+  std::uint64_t Sequence = 0;
+  std::uint64_t SentVersion = 0;
   bool InFlight = false;
   std::uint64_t Acknowledged = 0;
   TimePoint AcknowledgedAt;
-  std::unique_ptr<Timer> Beater;
-  std::unique_ptr<Timer> Changer;
-  std::unique_ptr<Timer> Reader;
+  std::unique_ptr<Timer> RegisterTimer;
+  std::unique_ptr<Timer> ChangeTimer;
+  std::unique_ptr<Timer> ReadTimer;
   std::unique_ptr<Timer> Retry;
 };
 
--- a/test/platform/soak/Report.h
+++ b/test/platform/soak/Report.h
@@ -13,12 +13,12 @@
 /// \brief Results of a run: each violation with its time since the start of the
 /// run, and a count of each kind of event.
 struct Report {
-  std::vector<std::string> Broken;
+  std::vector<std::string> Violations;
   std::map<std::string, std::uint64_t> Counts;
 
-  void broke(TimePoint since, TimePoint now, const std::string &what) {
-    Broken.push_back(std::to_string((now - since).count() / 1000) +
-                     " ms: " + what);
+  void addViolation(TimePoint since, TimePoint now, const std::string &what) {
+    Violations.push_back(std::to_string((now - since).count() / 1000) +
+                         " ms: " + what);
   }
 };
 
--- a/test/platform/soak/SoakMain.cpp
+++ b/test/platform/soak/SoakMain.cpp
@@ -26,104 +26,106 @@
 constexpr Duration StartBound = seconds(30);
 /// Time after the last request by which all requests in flight must have ended.
 constexpr Duration DrainTime = seconds(4);
-constexpr Duration LookPeriod = milliseconds(100);
+constexpr Duration CheckPeriod = milliseconds(100);
 
 struct Arguments {
   DeploymentOptions Deployment;
   std::uint64_t Seed = 1;
-  Duration Time = seconds(30);
+  Duration RunTime = seconds(30);
 };
 
 /// One run, from the start of the processes to the report.
 class Run {
 public:
   Run(EventLoop &loop, const Arguments &arguments)
-      : Loop(loop), Options(arguments), World(loop, arguments.Deployment),
-        Faults(loop, World, arguments.Seed, Seen),
-        Changes(loop, World, arguments.Seed + 1, Seen),
-        Requests(loop, World, Faults, Changes, arguments.Seed + 2, Seen),
-        BegunAt(loop.now()),
-        Looker(loop.every(LookPeriod, [this] { look(); })) {}
-
-  int play() {
+      : Loop(loop), Options(arguments), System(loop, arguments.Deployment),
+        Faults(loop, System, arguments.Seed, Results),
+        DocumentOperator(loop, System, arguments.Seed + 1, Results),
+        Requests(loop, System, Faults, DocumentOperator, arguments.Seed + 2,
+                 Results),
+        PhaseStart(loop.now()),
+        CheckTimer(loop.every(CheckPeriod, [this] { checkPhase(); })) {}
+
+  int execute() {
     Loop.run();
     Requests.checkRuns();
-    for (const auto &[what, n] : Seen.Counts)
+    for (const auto &[what, n] : Results.Counts)
       std::printf("%8llu  %s\n", static_cast<unsigned long long>(n),
                   what.c_str());
-    for (const std::string &it : Seen.Broken)
+    for (const std::string &it : Results.Violations)
       std::printf("BROKEN %s\n", it.c_str());
     std::printf("seed %llu: %zu violations\n",
                 static_cast<unsigned long long>(Options.Seed),
-                Seen.Broken.size());
-    return Seen.Broken.empty() ? 0 : 1;
+                Results.Violations.size());
+    return Results.Violations.empty() ? 0 : 1;
   }
 
 private:
   enum class Phase { Starting, Disturbed, Recovering, Draining };
 
-  void look() {
+  void checkPhase() {
     const TimePoint now = Loop.now();
-    const Duration since = now - BegunAt;
-    switch (Present) {
+    const Duration since = now - PhaseStart;
+    switch (CurrentPhase) {
     case Phase::Starting:
-      if (Requests.served())
+      if (Requests.isServing())
         return disturb(now);
-      return giveUpAfter(StartBound, since, "does not begin to serve");
+      return failAfter(StartBound, since, "does not begin to serve");
     case Phase::Disturbed:
-      if (since >= Options.Time)
+      if (since >= Options.RunTime)
         heal(now);
       return;
     case Phase::Recovering:
-      if (Requests.served() && since > seconds(1) && !Changes.changeUnderWay())
+      if (Requests.isServing() && since > seconds(1) &&
+          !DocumentOperator.hasPendingChange())
         return drain(now);
-      return giveUpAfter(RecoveryBound, since, "does not recover");
+      return failAfter(RecoveryBound, since, "does not recover");
     case Phase::Draining:
       if (since >= DrainTime)
         Loop.stop();
     }
   }
 
-  void enter(Phase phase, TimePoint now) {
-    Present = phase;
-    BegunAt = now;
+  void enterPhase(Phase phase, TimePoint now) {
+    CurrentPhase = phase;
+    PhaseStart = now;
   }
   void disturb(TimePoint now) {
-    World.endBootstrap();
+    System.endBootstrap();
     Faults.begin(now);
-    Changes.begin();
-    enter(Phase::Disturbed, now);
+    DocumentOperator.begin();
+    enterPhase(Phase::Disturbed, now);
   }
   void heal(TimePoint now) {
     Faults.heal();
-    Changes.end();
-    enter(Phase::Recovering, now);
+    DocumentOperator.stopChanging();
+    enterPhase(Phase::Recovering, now);
   }
   void drain(TimePoint now) {
     std::printf("served again after %lld ms\n",
-                static_cast<long long>((now - BegunAt).count() / 1000));
-    Requests.end();
-    enter(Phase::Draining, now);
+                static_cast<long long>((now - PhaseStart).count() / 1000));
+    Requests.stopSending();
+    enterPhase(Phase::Draining, now);
   }
-  void giveUpAfter(Duration bound, Duration since, const char *what) {
+  void failAfter(Duration bound, Duration since, const char *what) {
     if (since < bound)
       return;
-    Seen.Broken.push_back(
+    Results.Violations.push_back(
         std::string(what) + "; " + Requests.state() +
-        (Changes.changeUnderWay() ? ", a change is in flight" : ""));
+        (DocumentOperator.hasPendingChange() ? ", a change is in flight" : ""));
     Loop.stop();
   }
 
   EventLoop &Loop;
   Arguments Options;
-  Report Seen;
-  Deployment World;
+  Report Results;
+  Deployment System;
   FaultPlan Faults;
-  Operator Changes;
+  Operator DocumentOperator;
   Callers Requests;
-  Phase Present = Phase::Starting;
-  TimePoint BegunAt;
-  std::unique_ptr<Timer> Looker;
+  Phase CurrentPhase = Phase::Starting;
+  TimePoint PhaseStart;
+  std::unique_ptr<Timer> CheckTimer;
 };
 
 bool parse(int argc, char **argv, Arguments &arguments) {
@@ -152,7 +154,7 @@
       arguments.Seed = std::stoull(optarg);
       break;
     case 't':
-      arguments.Time = seconds(std::stoi(optarg));
+      arguments.RunTime = seconds(std::stoi(optarg));
       break;
     case 'e':
       arguments.Deployment.Entries = std::stoi(optarg);
@@ -185,5 +187,5 @@
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::filesystem::create_directories(arguments.Deployment.Folder);
   EventLoop loop;
-  return Run(loop, arguments).play();
+  return Run(loop, arguments).execute();
 }
--- a/test/platform/soak/TcpProxy.cpp
+++ b/test/platform/soak/TcpProxy.cpp
@@ -38,20 +38,20 @@
 TcpProxy::~TcpProxy() {
   evconnlistener_free(Listener);
   for (Connection &it : Connections)
-    end(it, /*reset=*/false);
+    close(it, /*reset=*/false);
 }
 
 void TcpProxy::disturb(Disturbance disturbance, Duration delay) {
-  Present = disturbance;
+  Current = disturbance;
   Delay = delay;
   for (Connection &it : Connections) {
     if (disturbance == Disturbance::Silence)
       it.Silent = true;
-    if (disturbance == Disturbance::Reset && !it.Over)
-      end(it, /*reset=*/true);
+    if (disturbance == Disturbance::Reset && !it.Closed)
+      close(it, /*reset=*/true);
   }
   if (disturbance == Disturbance::Silence || disturbance == Disturbance::Reset)
-    Present = Disturbance::None;
+    Current = Disturbance::None;
 }
 
 void TcpProxy::setUp(bufferevent *bev, Connection &connection) {
@@ -73,7 +73,7 @@
   if (bufferevent_socket_connect(it.Target.Bev,
                                  reinterpret_cast<const sockaddr *>(&address),
                                  sizeof(address)) != 0)
-    it.Target.Ended = true;
+    it.Target.HasClosed = true;
 }
 
 void TcpProxy::onReadable(bufferevent *bev, void *arg) {
@@ -83,40 +83,41 @@
   evbuffer_remove(input, bytes.data(), bytes.size());
   Side &to = bev == it.Caller.Bev ? it.Target : it.Caller;
   TcpProxy &self = *it.Owner;
-  const bool late = self.Present == Disturbance::Delay;
-  const TimePoint at = self.Loop.now() + (late ? self.Delay : Duration::zero());
-  to.Held.emplace_back(at, std::move(bytes));
-  self.pump(it);
+  const bool isDelayed = self.Current == Disturbance::Delay;
+  const TimePoint at =
+      self.Loop.now() + (isDelayed ? self.Delay : Duration::zero());
+  to.Buffered.emplace_back(at, std::move(bytes));
+  self.deliver(it);
 }
 
 void TcpProxy::onEvent(bufferevent *bev, short what, void *arg) {
   auto &it = *static_cast<Connection *>(arg);
   if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-    (bev == it.Caller.Bev ? it.Caller : it.Target).Ended = true;
+    (bev == it.Caller.Bev ? it.Caller : it.Target).HasClosed = true;
 }
 
-bool TcpProxy::passes(const Connection &connection, const Side &to) const {
-  if (connection.Silent || Present == Disturbance::Cut)
+bool TcpProxy::canDeliver(const Connection &connection, const Side &to) const {
+  if (connection.Silent || Current == Disturbance::Cut)
     return false;
-  return Present != Disturbance::CutOneWay || &to != &connection.Target;
+  return Current != Disturbance::CutOneWay || &to != &connection.Target;
 }
 
-void TcpProxy::pump(Connection &connection) {
+void TcpProxy::deliver(Connection &connection) {
   for (Side *to : {&connection.Caller, &connection.Target}) {
-    if (!passes(connection, *to))
+    if (!canDeliver(connection, *to))
       continue;
-    while (!to->Held.empty() && to->Held.front().first <= Loop.now()) {
-      const std::string &bytes = to->Held.front().second;
+    while (!to->Buffered.empty() && to->Buffered.front().first <= Loop.now()) {
+      const std::string &bytes = to->Buffered.front().second;
       bufferevent_write(to->Bev, bytes.data(), bytes.size());
-      to->Held.pop_front();
+      to->Buffered.pop_front();
     }
   }
 }
 
-void TcpProxy::end(Connection &connection, bool reset) {
-  if (connection.Over)
+void TcpProxy::close(Connection &connection, bool reset) {
+  if (connection.Closed)
     return;
-  connection.Over = true;
+  connection.Closed = true;
   for (Side *it : {&connection.Caller, &connection.Target}) {
     const int fd = bufferevent_getfd(it->Bev);
     const linger now{.l_onoff = 1, .l_linger = 0};
@@ -129,22 +130,24 @@
 
 void TcpProxy::tick() {
   for (Connection &it : Connections) {
-    if (it.Over)
+    if (it.Closed)
       continue;
-    pump(it);
+    deliver(it);
     // A close is passed on only after the bytes before it, and not during a
     // cut.
-    const bool callerLeft =
-        it.Caller.Ended && passes(it, it.Target) && it.Target.Held.empty();
-    const bool targetLeft =
-        it.Target.Ended && passes(it, it.Caller) && it.Caller.Held.empty();
+    const bool callerClosed = it.Caller.HasClosed &&
+                              canDeliver(it, it.Target) &&
+                              it.Target.Buffered.empty();
+    const bool targetClosed = it.Target.HasClosed &&
+                              canDeliver(it, it.Caller) &&
+                              it.Caller.Buffered.empty();
     const bool written =
         evbuffer_get_length(bufferevent_get_output(it.Caller.Bev)) == 0 ||
-        it.Caller.Ended;
-    if (callerLeft || (targetLeft && written))
-      end(it, /*reset=*/false);
+        it.Caller.HasClosed;
+    if (callerClosed || (targetClosed && written))
+      close(it, /*reset=*/false);
   }
-  Connections.remove_if([](const Connection &it) { return it.Over; });
+  Connections.remove_if([](const Connection &it) { return it.Closed; });
 }
 
 } // namespace pimentofront::soak
--- a/test/platform/soak/TcpProxy.h
+++ b/test/platform/soak/TcpProxy.h
@@ -39,39 +39,39 @@
 
   /// \param delay used by Disturbance::Delay only.
   void disturb(Disturbance disturbance, Duration delay);
-  void heal() { Present = Disturbance::None; }
+  void heal() { Current = Disturbance::None; }
 
 private:
   struct Side {
     bufferevent *Bev = nullptr;
     /// Bytes received from the other side, with the time when they may be sent
     /// on.
-    std::deque<std::pair<TimePoint, std::string>> Held;
+    std::deque<std::pair<TimePoint, std::string>> Buffered;
     /// Whether this side has closed the connection.
-    bool Ended = false;
+    bool HasClosed = false;
   };
   struct Connection {
     TcpProxy *Owner = nullptr;
     Side Caller;
     Side Target;
     bool Silent = false;
-    bool Over = false;
+    bool Closed = false;
   };
   static void onAccept(evconnlistener *, int fd, struct sockaddr *, int,
                        void *arg);
   static void onReadable(bufferevent *bev, void *arg);
   static void onEvent(bufferevent *bev, short what, void *arg);
   static void setUp(bufferevent *bev, Connection &connection);
-  bool passes(const Connection &connection, const Side &to) const;
-  void pump(Connection &connection);
-  void end(Connection &connection, bool reset);
+  bool canDeliver(const Connection &connection, const Side &to) const;
+  void deliver(Connection &connection);
+  void close(Connection &connection, bool reset);
   void tick();
 
   EventLoop &Loop;
   HostPort TargetAddress;
   evconnlistener *Listener = nullptr;
   std::list<Connection> Connections;
-  Disturbance Present = Disturbance::None;
+  Disturbance Current = Disturbance::None;
   Duration Delay = Duration::zero();
   std::unique_ptr<Timer> Ticker;
 };
