--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Figures of the real processes on this machine: requests a second and added
-# latency, memory by adapters known, cost of an idle process.
+# Measures the real processes on this machine: requests per second and added
+# latency, memory by the number of known adapters, CPU time and network traffic of
+# idle processes.
 set -eu
 cd "$(dirname "$0")/.."
 bin=$PWD/build
@@ -44,7 +45,7 @@
     for it in replica:$replica:$base entry:$entry:$((base + 2)) agent:$agent:$((base + 4)); do
       name=${it%%:*}; rest=${it#*:}; pid=${rest%%:*}; port=${rest#*:}
       eval "t=\$t_$name b=\$b_$name"
-      echo "idle $name: $(echo "$(ticks "$pid") $t" | awk '{printf "%.2f%% of a core", ($1 - $2) / 20}'), $(echo "$(wire "$port") $b" | awk '{printf "%.0f B a second", ($1 - $2) / 20}')"
+      echo "idle $name: $(echo "$(ticks "$pid") $t" | awk '{printf "%.2f%% of a core", ($1 - $2) / 20}'), $(echo "$(wire "$port") $b" | awk '{printf "%.0f B/s", ($1 - $2) / 20}')"
     done
     until "$bin/bench/pimentofront-load" entry "127.0.0.1:$((base + 2))" catalogue-adapter-1 1 1 | grep -q " 0 failed"; do sleep 0.2; done
     for k in 1 16 128; do
--- a/scripts/check-clocks.sh
+++ b/scripts/check-clocks.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# Decisions go by the boot clock, which counts the time that a host is suspended:
-# only the event loop reads a clock, and none reads the steady one, which doesn't.
+# Decisions use the boot clock, which includes the time while the host is
+# suspended. Checks that only the event loop reads a clock, and that nothing reads
+# the steady clock, which excludes that time.
 set -eu
 cd "$(dirname "$0")/.."
 found=$(git grep -nE 'steady_clock|CLOCK_MONOTONIC|event_base_gettimeofday|gettimeofday\(' -- \
   'packages/*.cpp' 'packages/*.h' 'platform/*.cpp' 'platform/*.h' || true)
 reads=$(git grep -lE 'clock_gettime|system_clock::now' -- 'packages/*.cpp' 'platform/*.cpp' |
   grep -vE '^packages/(net/pimentofront/src/Net/EventLoop|ctl/src/main)\.cpp$' || true)
-[ -z "$found$reads" ] || { printf 'clocks that decisions must not read:\n%s\n%s\n' "$found" "$reads"; exit 1; }
-echo "only the event loop reads a clock, and it counts the time asleep"
+[ -z "$found$reads" ] || { printf 'clock reads that are not allowed here:\n%s\n%s\n' "$found" "$reads"; exit 1; }
+echo "only the event loop reads a clock, and it includes time while suspended"
--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Takes each guard out, in a copy of the tree, and shows that a test fails then:
-# a test that can't fail proves nothing. Prints a line for each guard.
+# Mutation test: removes each guard in a copy of the tree and checks that a test
+# fails without it, since a test that can't fail proves nothing. Prints one line for
+# each guard.
 set -eu
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Installs what is missing, builds, and shows the whole system as separate
-# processes on loopback: two entries, three agents with fake engines, a fake
-# plain service, three replicas. Ends everything gracefully.
+# Installs missing packages, builds, and demonstrates the whole system as separate
+# processes on loopback: two entries, three agents with fake engines, a fake plain
+# service and three replicas. Stops all of them gracefully.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh
@@ -46,7 +46,7 @@
   n=0
   until "$@" >/dev/null 2>&1; do
     n=$((n + 1))
-    [ $n -lt 100 ] || { echo "gave up waiting for $what"; exit 1; }
+    [ $n -lt 100 ] || { echo "timed out waiting for $what"; exit 1; }
     sleep 0.1
   done
 }
@@ -66,7 +66,7 @@
     "\"agent\": {\"engine\": \"127.0.0.1:$((base + 13 + i))\", \"base_model\": \"base-7b\", \"slots\": 4$services}"
 done
 
-echo "== the first replica becomes the group, the others join it"
+echo "== the first replica bootstraps the group, the others join it"
 wait_for "the first replica" ctl bootstrap
 serving() { ctl status | grep -q '"lagging"' || ctl status | grep -q '"leads":true'; }
 wait_for "a leader" serving
@@ -81,20 +81,20 @@
 
 echo "== requests through the public interface"
 ready() { ctl generate catalogue-h0 hello --kind counter --max-tokens 2; }
-wait_for "the path" ready
+wait_for "the first answer" ready
 ctl generate catalogue-h0 "Old part 4711?" --kind counter --max-tokens 8 --request demo-1
 ctl --entry "127.0.0.1:$((base + 5))" generate track-kits "Build note" --kind counter --max-tokens 5 --request demo-2
 issued=$(date +%s%3N)
 ctl call stock reserve '{"part":4711}' --kind counter --request order-1 --issued-at-ms "$issued"
-echo "-- the same order again, through the other entry: not run twice"
+echo "-- the same order resent through the other entry isn't run twice"
 ctl --entry "127.0.0.1:$((base + 5))" call stock reserve '{"part":4711}' --kind counter --request order-1 --issued-at-ms "$issued"
 
-echo "== what an operator sees"
+echo "== the status for an operator"
 ctl status
 echo "== stopping gracefully"
 stop_all
 pids=""
-echo "== the time line of one request"
+echo "== the timeline of one request"
 ctl timeline --request demo-1 "$work"/*.log | grep demo-1
 ctl timeline --request demo-1 --page "$work/timeline.html" "$work"/*.log
-echo "as a page: $work/timeline.html"
+echo "as an HTML page: $work/timeline.html"
--- a/scripts/free-ports.sh
+++ b/scripts/free-ports.sh
@@ -1,12 +1,12 @@
 # Sourced by scripts that start processes. free_ports N WORK prints the first of N
-# ports in a row that nobody uses, and keeps them from other runs of this function
-# until WORK, the caller's own folder, is gone. They lie below the range from which
-# the kernel takes the local ports of connections: a port of that range can be taken
-# by any connection between the choice and the moment the process listens on it.
+# consecutive unused ports and reserves them against other calls of this function
+# until WORK, the caller's own folder, is deleted. The ports are below the range of
+# ephemeral ports: the kernel may give a port of that range to any connection before
+# the process listens on it.
 
 port_claims=${TMPDIR:-/tmp}/pimentofront-ports-$(id -u)
 
-# Whether any socket, of any state, has its local end on one of the ports $1..$2.
+# Succeeds if a socket in any state has a local port in the range $1..$2.
 ports_used() {
   cat /proc/net/tcp /proc/net/tcp6 2>/dev/null | awk -v first="$1" -v last="$2" '
     function number(hex, n, i) {
@@ -30,7 +30,7 @@
     first=10000
     while [ $((first + block)) -le "$limit" ]; do
       claim=$port_claims/$first
-      # A claim whose owner's folder is gone is over.
+      # A reservation expires when its owner's folder is deleted.
       if [ ! -e "$claim" ] || [ ! -d "$(cat "$claim")" ]; then
         echo "$2" >"$claim"
         ports_used "$first" $((first + $1 - 1)) || { echo "$first"; exit 0; }
@@ -38,7 +38,7 @@
       fi
       first=$((first + block))
     done
-    echo "no $1 free ports in a row" >&2
+    echo "no $1 consecutive free ports" >&2
     exit 1
   ) 9>"$port_claims/lock"
 }
--- a/scripts/install-dependencies.sh
+++ b/scripts/install-dependencies.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs what the build needs from Debian 12's packages; does nothing when
-# all are there.
+# Installs the Debian 12 packages that the build requires; does nothing if all are
+# installed.
 set -eu
 packages="g++ cmake ninja-build pkg-config clang-format clang-tidy
   libevent-dev libevhtp-dev libwebsocketpp-dev nlohmann-json3-dev
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The fault soak. Arguments: a number of seconds for each seed, then seeds; without
-# seeds three fresh ones. Keeps the folder (settings, logs) of a seed that failed.
+# Runs the soak test with injected faults. Arguments: the number of seconds per
+# seed, then the seeds; without seeds it draws three random ones. Keeps the folder
+# with settings and logs of each seed that failed.
 #   scripts/soak.sh 30 1 2 3      scripts/soak.sh 60
 set -eu
 cd "$(dirname "$0")/.."
@@ -20,7 +21,7 @@
     rm -rf "$work"
   else
     grep -E '^BROKEN|^seed' "$work/report" || tail -n 5 "$work/report"
-    echo "kept in $work"
+    echo "settings and logs are in $work"
     failed=1
   fi
 done
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Installs what is missing, builds, and runs all tests. Those that KNOWN-RED.txt
-# names (before the colon) run too, but don't fail the run.
+# Installs missing packages, builds, and runs all tests. The tests listed in
+# KNOWN-RED.txt (names before the colon) run too, but their failures don't fail this
+# script.
 set -eu
 cd "$(dirname "$0")/.."
 scripts/build.sh
--- a/test/processes.sh
+++ b/test/processes.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The real processes on loopback: kills, a freeze, a lost data folder. Waits for
-# events, never for a time. Argument: the folder with the built packages.
+# Tests the real processes on loopback with killed and paused processes, a lost
+# data folder and a damaged log. Waits for events, never for a fixed time.
+# Argument: the folder with the built packages.
 set -eu
 bin=$1
 work=$(mktemp -d)
@@ -31,7 +32,7 @@
   tries=0
   until "$@" >"$work/last" 2>&1; do
     tries=$((tries + 1))
-    [ $tries -lt 150 ] || { echo "gave up: $what"; cat "$work/last"; tail -3 "$work"/*.log; exit 1; }
+    [ $tries -lt 150 ] || { echo "timed out: $what"; cat "$work/last"; tail -3 "$work"/*.log; exit 1; }
     sleep 0.1
   done
   echo "ok: $what"
@@ -51,78 +52,79 @@
 daemon w2
 
 until_ok "bootstrap" ctl 1 bootstrap
-until_ok "a kind" ctl 1 --command-id k set-kind counter --window-ms 20000
-until_ok "an adapter" ctl 1 --command-id a create-adapter a m
+until_ok "a kind is set" ctl 1 --command-id k set-kind counter --window-ms 20000
+until_ok "an adapter is created" ctl 1 --command-id a create-adapter a m
 ctl 1 create-version a 1 s >/dev/null
 ctl 1 declare-live a 1 >/dev/null
 voters() { [ "$(ctl "$1" status | grep -o '"group":\["n[123]","n[123]","n[123]"\]' | wc -l)" = 3 ]; }
-until_ok "three voters" voters 1
+until_ok "the group has three voters" voters 1
 answers_with() { ctl "$1" generate a hello --kind counter --max-tokens 4 | grep -q "$2#3"; } # entry adapter@version
-until_ok "an answer through each entry" answers_with 1 a@1
-until_ok "an answer through each entry" answers_with 2 a@1
+until_ok "an answer through the first entry" answers_with 1 a@1
+until_ok "an answer through the second entry" answers_with 2 a@1
 
-# An order that is sent again, also after its entry was killed.
+# An order that is resent gets its recorded answer, also after its entry was killed.
 issued=$(date +%s%3N)
 order() { ctl "$1" call stock reserve x --kind counter --request o1 --issued-at-ms "$issued"; }
-until_ok "an order" order 1 # Sent again until the entry knows of the service.
+until_ok "an order is executed" order 1 # Retried until the entry knows the service.
 first=$(order 1)
-[ "$(order 2)" = "$first" ] && echo "ok: an order sent again gets its recorded answer"
+[ "$(order 2)" = "$first" ] && echo "ok: a resent order gets its recorded answer"
 kill -KILL "$pid_n1"
 until_ok "an answer while one replica is dead" answers_with 2 a@1
-[ "$(order 3)" = "$first" ] && echo "ok: also after its entry was killed"
+[ "$(order 3)" = "$first" ] && echo "ok: the same after its entry was killed"
 
-# The dead one has lost its disk, comes back, and a second host is lost.
+# The killed replica restarts with an empty disk; then a second host is lost.
 rm -rf "$work/data1"
 daemon n1
-until_ok "the emptied replica is a voter again" voters 2
+until_ok "the replica with the empty disk is a voter again" voters 2
 kill -KILL "$pid_n2"
 until_ok "a change after a second host was lost" ctl 1 --command-id c2 create-version a 2 s
 daemon n2
-until_ok "all three are back" voters 1
+until_ok "all three replicas are voters again" voters 1
 
-# A frozen replica: the others go on, it doesn't serve when it wakes stale.
+# While one replica is paused the others continue; once resumed, it must not serve
+# its stale state.
 kill -STOP "$pid_n3"
-until_ok "a change while one replica is frozen" ctl 1 --command-id c3 declare-live a 2
+until_ok "a change while one replica is paused" ctl 1 --command-id c3 declare-live a 2
 kill -CONT "$pid_n3"
 retired() { ctl 3 generate a hello --kind counter --version 1 2>&1 | grep -q 'no live version'; }
-until_ok "the woken one has the change" retired
+until_ok "the resumed replica has the change" retired
 
-# A damaged log stops a replica, with its own exit code.
+# A replica with a damaged log exits with an exit code of its own.
 kill -TERM "$pid_n3"
 wait "$pid_n3" || true
 printf 'XXXXXXXX' | dd of="$work/data3/log" bs=1 seek=24 conv=notrunc 2>/dev/null
 set +e
 "$bin/daemon/pimentofrontd" --settings "$work/n3.json" >/dev/null 2>&1
-[ $? = 5 ] || { echo "a damaged log was taken"; exit 1; }
+[ $? = 5 ] || { echo "a damaged log was accepted"; exit 1; }
 set -e
-echo "ok: a damaged log isn't taken"
+echo "ok: a damaged log is refused"
 
-# An evacuated zone gets nothing, until that is taken back.
+# An evacuated zone gets no requests until it is restored.
 zone=$(sed -n 's/.*"zone": "\([^"]*\)".*/\1/p' "$work/w1.json")
 ctl 1 evacuate "$zone" >/dev/null
 refused() { ctl 1 generate a hello --kind counter 2>&1 | grep -q '"notRun":true'; }
-until_ok "an evacuated zone's servers get nothing" refused
+until_ok "the servers of an evacuated zone get no requests" refused
 ctl 1 status | grep -q '"evacuated":true' || { echo "the status doesn't show the evacuation"; exit 1; }
 ctl 1 restore "$zone" >/dev/null
-until_ok "the zone is used again" answers_with 1 a@2
+until_ok "the restored zone is used again" answers_with 1 a@2
 
-# A graceful stop cuts off nothing that runs.
+# A graceful stop doesn't interrupt running generations.
 until_ok "the new version through the first entry" answers_with 1 a@2
 n2_answer="$work/answer"
 ctl 1 generate a hello --kind counter --max-tokens 150 >"$n2_answer" 2>&1 &
 long=$!
 running() { grep -q generation_started "$work"/w*.log && grep -q 'a@2#5 ' "$n2_answer"; }
-until_ok "a long answer is on its way" running
+until_ok "a long answer is in progress" running
 kill -TERM "$pid_w1" "$pid_w2"
 wait $long
-grep -q 'a@2#149' "$n2_answer" || { echo "the answer was cut off"; exit 1; }
-echo "ok: a graceful stop cut off nothing"
-until_ok "both agents have ended" fails kill -0 "$pid_w1"
-wait "$pid_w1" || { echo "the agent's exit code is bad"; exit 1; }
+grep -q 'a@2#149' "$n2_answer" || { echo "the answer was interrupted"; exit 1; }
+echo "ok: a graceful stop interrupted nothing"
+until_ok "the first agent has exited" fails kill -0 "$pid_w1"
+wait "$pid_w1" || { echo "the agent exited with a non-zero code"; exit 1; }
 refused() { ctl 1 generate a hello --kind counter 2>&1 | grep -q '"notRun":true'; }
-until_ok "without backend servers a refusal says not run" refused
+until_ok "without backend servers a refusal says that the request was not run" refused
 
-# Bad input changes nothing.
+# Invalid input is refused.
 post() { # path type body
   printf 'POST %s HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Type: %s\r\nContent-Length: %s\r\n\r\n%s' "$1" "$2" "${#3}" "$3" >"$work/raw"
   exec 3<>/dev/null
@@ -134,7 +136,7 @@
 EOF
 }
 if command -v python3 >/dev/null; then
-  post /pimentofront.v1.Assistant/Generate application/json '{"nonsense":1}' | grep -q "400 Bad" && echo "ok: a bad body is refused"
+  post /pimentofront.v1.Assistant/Generate application/json '{"nonsense":1}' | grep -q "400 Bad" && echo "ok: an invalid body is refused"
   post /pimentofront.v1.Assistant/Nothing application/json '{}' | grep -q "501" && echo "ok: an unknown method is refused"
   post /pimentofront.v1.Assistant/Generate text/html '{}' | grep -q "415" && echo "ok: an unknown content type is refused"
   slow=$(python3 - "$((base + 1))" <<'EOF'
@@ -150,7 +152,7 @@
     print("held open")
 EOF
 )
-  [ "$slow" = ended ] || { echo "a slow caller on a kept connection is $slow"; exit 1; }
-  echo "ok: a slow caller on a kept connection is cut off"
+  [ "$slow" = ended ] || { echo "a slow caller on a keep-alive connection is $slow"; exit 1; }
+  echo "ok: a slow caller on a keep-alive connection is disconnected"
 fi
 "$bin/ctl/pimentofrontctl" timeline "$work"/*.log >"$work/timeline" && echo "ok: the time line has $(wc -l <"$work/timeline") events"
