--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -95,10 +95,10 @@
       if (it.Server == server && it.At >= since)
         firstReceived.try_emplace(it.Entry, it.At);
     for (const ServerArrival &it : Fleet.arrivals()) {
-      const auto told = firstReceived.find(it.Entry);
+      const auto received = firstReceived.find(it.Entry);
       if (it.Server == server && it.At >= since + SettleTime &&
-          it.At <= until && told != firstReceived.end() &&
-          it.At >= told->second + ObeyDelay)
+          it.At <= until && received != firstReceived.end() &&
+          it.At >= received->second + ObeyDelay)
         counted.push_back(it.At);
     }
     return mostWithin(counted, Window);
@@ -284,7 +284,7 @@
 /// had received feedback from it that, by \p forbids, excludes a request at
 /// that time.
 std::size_t sentDespiteFeedback(const ForwardFleet &fleet,
-                                bool (*forbids)(const FeedbackTold &feedback,
+                                bool (*forbids)(const FeedbackTold &delivery,
                                                 TimePoint at)) {
   // Covers requests in flight to the server when the entry read the answer.
   constexpr Duration Latency = 2ms;
@@ -299,15 +299,15 @@
 
 std::size_t sentDuringBackoff(const ForwardFleet &fleet) {
   return sentDespiteFeedback(
-      fleet, [](const FeedbackTold &feedback, TimePoint at) {
-        return feedback.Asks.Rest && at < feedback.At + *feedback.Asks.Rest;
+      fleet, [](const FeedbackTold &delivery, TimePoint at) {
+        return delivery.Asks.Rest && at < delivery.At + *delivery.Asks.Rest;
       });
 }
 
 std::size_t sentToLeaving(const ForwardFleet &fleet) {
   return sentDespiteFeedback(fleet,
-                             [](const FeedbackTold &feedback, TimePoint) {
-                               return feedback.Asks.Leaving;
+                             [](const FeedbackTold &delivery, TimePoint) {
+                               return delivery.Asks.Leaving;
                              });
 }
 
@@ -436,9 +436,9 @@
             const HostName server = it.Fleet.serverName(i);
             arrived += it.arrivalsAt(server, since, until);
             most = std::max(most, it.maxInWindow(server, since, until));
-            for (const FeedbackTold &told : it.Fleet.told())
-              if (told.Server == server)
-                informed.emplace(server, told.Entry);
+            for (const FeedbackTold &received : it.Fleet.told())
+              if (received.Server == server)
+                informed.emplace(server, received.Entry);
           }
           std::printf(
               "%s, %u entries, %s, seed %d: arrivals at the four servers "
