--- a/test/platform/TestDocument.h
+++ b/test/platform/TestDocument.h
@@ -18,9 +18,8 @@
 
 /// \param kind the platform's route type, which says how often a request may
 /// run.
-/// \param servers the maximum number of servers that one request may be sent
-/// to. \returns the route of test.example for /PREFIX/, in the platform's
-/// format.
+/// \param servers maximum number of servers that one request is sent to.
+/// \returns the route of test.example for /PREFIX/, in the platform's format.
 nlohmann::json testRoute(const std::string &prefix, const char *kind,
                          const char *service, int servers, bool resumable);
 /// \returns a routing document with two services, `plain` and `engines`, and a
--- a/test/platform/soak/FaultPlan.cpp
+++ b/test/platform/soak/FaultPlan.cpp
@@ -76,8 +76,9 @@
     inject(now);
 }
 
-/// Restarts processes that have ended, and reports those that ended without a
-/// signal from this test and not with exit code 0.
+/// Restarts processes that have ended. Reports a violation unless the process
+/// was killed, exited with code 0, or got SIGTERM before it could handle
+/// signals.
 void FaultPlan::reap() {
   for (Daemon &it : System.daemons()) {
     const auto status = it.Process.reap();
--- a/test/platform/soak/Operator.cpp
+++ b/test/platform/soak/Operator.cpp
@@ -15,8 +15,7 @@
 constexpr Duration CallTimeout = std::chrono::seconds(1);
 constexpr Duration RetryPause = milliseconds(150);
 
-/// \returns the document of a version, with the route that only this version
-/// has.
+/// \returns the document of a version, including the route of its own.
 nlohmann::json document(std::uint64_t version) {
   nlohmann::json result = testkit::testDocument(version);
   result["routes"].push_back(testkit::testRoute(
--- a/test/platform/soak/SoakMain.cpp
+++ b/test/platform/soak/SoakMain.cpp
@@ -181,8 +181,7 @@
                stderr);
     return 2;
   }
-  // Writing to a closed connection must fail with an error, not end the
-  // process.
+  // Writing to a closed connection must return an error, not end the process.
   std::signal(SIGPIPE, SIG_IGN);
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
   std::filesystem::create_directories(arguments.Deployment.Folder);
