--- a/test/EvacuationFleetTest.cpp
+++ b/test/EvacuationFleetTest.cpp
@@ -93,7 +93,7 @@
         cold[it.Server].push_back(it.At);
     std::size_t most = 0;
     for (const auto &[server, times] : cold)
-      most = std::max(most, mostWithin(times, 1s));
+      most = std::max(most, maxWithin(times, 1s));
     return most;
   }
 
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -101,7 +101,7 @@
           it.At >= received->second + ObeyDelay)
         counted.push_back(it.At);
     }
-    return mostWithin(counted, Window);
+    return maxWithin(counted, Window);
   }
 
   std::size_t arrivalsAt(const HostName &server, TimePoint since,
@@ -298,10 +298,10 @@
 }
 
 std::size_t sentDuringBackoff(const ForwardFleet &fleet) {
-  return sentDespiteFeedback(
-      fleet, [](const FeedbackTold &delivery, TimePoint at) {
-        return delivery.Asks.Rest && at < delivery.At + *delivery.Asks.Rest;
-      });
+  return sentDespiteFeedback(fleet, [](const FeedbackTold &delivery,
+                                       TimePoint at) {
+    return delivery.Asks.Backoff && at < delivery.At + *delivery.Asks.Backoff;
+  });
 }
 
 std::size_t sentToLeaving(const ForwardFleet &fleet) {
@@ -327,7 +327,7 @@
       const int sentBefore = it.Sent;
       const int answeredBefore = it.Answered;
       for (std::uint32_t i = 2; i < 6; ++i)
-        it.Fleet.setAsks(i, {.Rest = 3s});
+        it.Fleet.setAsks(i, {.Backoff = 3s});
       it.runFor(10s);
       for (std::uint32_t i = 2; i < 6; ++i)
         it.Fleet.setAsks(i, {});
@@ -352,7 +352,7 @@
     LimitedFleet it(options, {.Adapters = 8});
     it.runFor(10s);
     for (std::uint32_t i = 0; i < 3; ++i)
-      it.Fleet.setAsks(i, {.Rest = 10s});
+      it.Fleet.setAsks(i, {.Backoff = 10s});
     it.runFor(5s);
     CHECK(sentDuringBackoff(it.Fleet) == 0);
     std::optional<CallerAnswer> answer;
@@ -364,7 +364,7 @@
     INFO((engines ? "engines" : "plain servers") << ", body " << answer->Body);
     CHECK(answer->Status == 503);
     CHECK(answer->EndedAt - sentAt < 20ms);
-    CHECK(answer->ComeBack >= 3s);
+    CHECK(answer->RetryAfter >= 3s);
   }
 }
 
@@ -425,7 +425,7 @@
             if (kind == "limits")
               it.Fleet.setAsks(i, {.Limit = 1.0});
             if (kind == "rests")
-              it.Fleet.setAsks(i, {.Rest = 3s});
+              it.Fleet.setAsks(i, {.Backoff = 3s});
           }
           it.runFor(15s);
           const TimePoint until = it.Fleet.now();
--- a/test/platform/FakePlatformMain.cpp
+++ b/test/platform/FakePlatformMain.cpp
@@ -101,11 +101,11 @@
     return Failures == 0 ? 0 : 1;
   }
 
-  HeadVerdict onHead(const AttemptId &, ResponseHead head) override {
+  HeadDecision onHead(const AttemptId &, ResponseHead head) override {
     Status = head.Status;
-    const std::string *comeBack = findHeader(head.Headers, "Retry-After");
-    ComeBack = comeBack ? std::stod(*comeBack) : 0;
-    return HeadVerdict::Take;
+    const std::string *retryAfter = findHeader(head.Headers, "Retry-After");
+    RetryAfter = retryAfter ? std::stod(*retryAfter) : 0;
+    return HeadDecision::Take;
   }
   void onBody(const AttemptId &, std::string_view bytes) override {
     Body += bytes;
@@ -357,15 +357,15 @@
   /// Each server has received one request and asked for a backoff: the next
   /// caller is told when the first of them accepts requests again.
   void checkBackoff() {
-    constexpr double LeastComeBack = 0.1;
+    constexpr double MinRetryAfter = 0.1;
     const bool backsOff = Status == 503 && Body == "servers_rest\n";
     // If there was no permit for a server, it received no request, and the
     // entry doesn't know its backoff yet.
     if (!backsOff && Loop.now() < PhaseStart + std::chrono::seconds(2))
       return enterPhase(Phase::Backoff);
-    const bool good = backsOff && ComeBack >= LeastComeBack;
+    const bool good = backsOff && RetryAfter >= MinRetryAfter;
     std::printf("%s: all servers back off, retry after %.1f s\n",
-                good ? "ok" : "FAILED", ComeBack);
+                good ? "ok" : "FAILED", RetryAfter);
     Failures += good ? 0 : 1;
     Loop.stop();
   }
@@ -410,7 +410,7 @@
   int ZoneRefusals = 0;
   TimePoint FirstRefusalAt;
   /// Retry-after of the last answer, in seconds; 0 without one.
-  double ComeBack = 0;
+  double RetryAfter = 0;
   std::size_t Next = 0;
   std::string Id;
   int Status = 0;
--- a/test/platform/soak/Callers.cpp
+++ b/test/platform/soak/Callers.cpp
@@ -116,9 +116,9 @@
 // Answers
 //===----------------------------------------------------------------------===//
 
-HeadVerdict Callers::onHead(const AttemptId &attempt, ResponseHead head) {
+HeadDecision Callers::onHead(const AttemptId &attempt, ResponseHead head) {
   InFlight.at(attempt).Status = head.Status;
-  return HeadVerdict::Take;
+  return HeadDecision::Take;
 }
 
 void Callers::onBody(const AttemptId &attempt, std::string_view bytes) {
--- a/test/platform/soak/Callers.h
+++ b/test/platform/soak/Callers.h
@@ -28,7 +28,7 @@
   /// called once no request is in flight any more.
   void checkRuns();
 
-  HeadVerdict onHead(const AttemptId &attempt, ResponseHead head) override;
+  HeadDecision onHead(const AttemptId &attempt, ResponseHead head) override;
   void onBody(const AttemptId &attempt, std::string_view bytes) override;
   void onEnd(const AttemptId &attempt, UpstreamEnding ending) override;
 
