--- a/test/QuarantineFleetTest.cpp
+++ b/test/QuarantineFleetTest.cpp
@@ -1,8 +1,9 @@
-// One request ended engine after engine for as long as its caller sent it
-// again: two processes for each attempt, 49 and 58 in all on one day, and with
-// each process some eight requests beside it broke off. What a request had done
-// was known to its attempt alone; the next one, under another id and mostly at
-// another entry, began without a past.
+// A request that crashes the server that runs it must be quarantined. Without a
+// quarantine such a request crashed one engine after another for as long as its
+// caller resent it: two processes per attempt, 49 and 58 in total, and about
+// eight other requests broke off with each process. Only the attempt itself
+// knew which servers had crashed; the next attempt has another id, mostly
+// arrives at another entry, and was treated as a new request.
 
 #include "pimentofront/Testkit.h"
 
@@ -15,11 +16,11 @@
 
 namespace {
 
-/// Sends beyond the third end of a server count from here on: the time in which
-/// what is decided must be in force everywhere.
-constexpr Duration InForceWithin = 3s;
+/// Time after the third crash within which the quarantine must be in force at
+/// all entries; only requests that reach a server later count as late.
+constexpr Duration QuarantineDelayBound = 3s;
 
-std::vector<std::string> deadlyRequests(std::size_t n) {
+std::vector<std::string> crashingRequests(std::size_t n) {
   std::vector<std::string> result;
   result.reserve(n);
   for (std::size_t i = 0; i < n; ++i)
@@ -27,71 +28,71 @@
   return result;
 }
 
-/// A fleet under some load, and what became of its callers.
+/// A fleet under load, with counters of its callers' outcomes.
 struct LoadedFleet {
   explicit LoadedFleet(const ForwardFleetOptions &options)
-      : Fleet(options), Chance(options.World.Seed + 1) {
+      : Fleet(options), Rng(options.World.Seed + 1) {
     Fleet.runFor(5s);
   }
 
   WorldProcess &anyEntry() {
     const auto n = static_cast<double>(Entries);
-    return Fleet.entry(static_cast<std::uint32_t>(Chance.uniform() * n));
+    return Fleet.entry(static_cast<std::uint32_t>(Rng.uniform() * n));
   }
 
-  /// Some 40 requests a second, each of its own content; their callers try a
-  /// second time when they get no answer.
+  /// Sends a request with a content of its own; the caller retries once when it
+  /// gets no answer. run() sends about 40 of them per second.
   void send() {
-    const std::string content = "ordinary-" + std::to_string(++Ordinary);
+    const std::string content = "ordinary-" + std::to_string(++OtherRequests);
     Fleet.call(anyEntry(), content, [this, content](const CallerAnswer &it) {
       if (it.Whole && it.Stamped)
         return void(++Answered);
-      note(it);
+      recordRefusal(it);
       Fleet.call(anyEntry(), content, [this](const CallerAnswer &again) {
         if (again.Whole && again.Stamped)
           return void(++Answered);
-        note(again);
-        ++Lost;
+        recordRefusal(again);
+        ++Unanswered;
       });
     });
   }
-  void note(const CallerAnswer &answer) {
+  void recordRefusal(const CallerAnswer &answer) {
     if (answer.Body == "quarantined\n")
-      ++Innocents;
+      ++WronglyQuarantined;
   }
 
-  /// Runs \p load, in which each of \p deadly is sent again and again.
-  void run(Duration load, const std::vector<std::string> &deadly) {
-    for (const std::string &it : deadly)
+  /// Sends load for \p load and resends each of \p crashing every 300 ms.
+  void run(Duration load, const std::vector<std::string> &crashing) {
+    for (const std::string &it : crashing)
       Fleet.addDeadly(it);
     const TimePoint end = Fleet.now() + load;
-    TimePoint nextDeadly = Fleet.now() + 1s;
+    TimePoint nextCrashing = Fleet.now() + 1s;
     while (Fleet.now() < end) {
       send();
-      if (!deadly.empty() && Fleet.now() >= nextDeadly) {
-        nextDeadly = Fleet.now() + 300ms;
-        for (const std::string &it : deadly)
+      if (!crashing.empty() && Fleet.now() >= nextCrashing) {
+        nextCrashing = Fleet.now() + 300ms;
+        for (const std::string &it : crashing)
           Fleet.call(anyEntry(), it);
       }
-      Fleet.runFor(Chance.jitter(17ms));
+      Fleet.runFor(Rng.jitter(17ms));
     }
     Fleet.runFor(8s);
   }
 
-  std::vector<TimePoint> endsBy(const std::string &content) const {
-    std::vector<TimePoint> ends;
+  std::vector<TimePoint> crashesCausedBy(const std::string &content) const {
+    std::vector<TimePoint> times;
     for (const ServerCrash &it : Fleet.crashes())
       if (it.Content == content)
-        ends.push_back(it.At);
-    return ends;
+        times.push_back(it.At);
+    return times;
   }
-  /// \returns how often the request reached a server once it should have been
-  /// known everywhere that three had ended under it.
-  int sendsTooLate(const std::string &content) const {
-    const std::vector<TimePoint> ends = endsBy(content);
-    if (ends.size() < 3)
+  /// \returns how often the request reached a server more than
+  /// QuarantineDelayBound after its third crash.
+  int lateArrivals(const std::string &content) const {
+    const std::vector<TimePoint> times = crashesCausedBy(content);
+    if (times.size() < 3)
       return 0;
-    const TimePoint known = ends[2] + InForceWithin;
+    const TimePoint known = times[2] + QuarantineDelayBound;
     return static_cast<int>(
         std::ranges::count_if(Fleet.arrivals(), [&](const ServerArrival &it) {
           return it.Content == content && it.At > known;
@@ -99,44 +100,46 @@
   }
 
   ForwardFleet Fleet;
-  Random Chance;
+  Random Rng;
   std::uint32_t Entries = 4;
-  int Ordinary = 0;
+  int OtherRequests = 0;
   int Answered = 0;
-  int Lost = 0;
-  int Innocents = 0;
+  int Unanswered = 0;
+  int WronglyQuarantined = 0;
 };
 
 } // namespace
 
-TEST_CASE("a request under which three servers ended reaches few more",
+TEST_CASE("a request that crashed three servers reaches few other servers",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     it.run(20s, {"deadly"});
-    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " ended");
-    CHECK(it.sendsTooLate("deadly") <= 3);
-    CHECK(it.endsBy("deadly").size() <= 8);
-    CHECK(it.Innocents == 0);
+    INFO("seed " << seed << ", " << it.crashesCausedBy("deadly").size()
+                 << " crashes");
+    CHECK(it.lateArrivals("deadly") <= 3);
+    CHECK(it.crashesCausedBy("deadly").size() <= 8);
+    CHECK(it.WronglyQuarantined == 0);
   }
 }
 
-TEST_CASE("ten such requests at one time cost nobody else the service",
+TEST_CASE("ten crashing requests at once put no other request in quarantine",
           "[quarantine]") {
-  const std::vector<std::string> deadly = deadlyRequests(10);
+  const std::vector<std::string> crashing = crashingRequests(10);
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
-    it.run(20s, deadly);
-    INFO("seed " << seed << ", lost " << it.Lost << " of " << it.Ordinary);
-    CHECK(it.Innocents == 0);
-    for (const std::string &content : deadly) {
-      CHECK(it.sendsTooLate(content) <= 3);
-      CHECK(it.endsBy(content).size() <= 8);
+    it.run(20s, crashing);
+    INFO("seed " << seed << ", unanswered " << it.Unanswered << " of "
+                 << it.OtherRequests);
+    CHECK(it.WronglyQuarantined == 0);
+    for (const std::string &content : crashing) {
+      CHECK(it.lateArrivals(content) <= 3);
+      CHECK(it.crashesCausedBy(content).size() <= 8);
     }
   }
 }
 
-TEST_CASE("servers that end by themselves put nobody in quarantine",
+TEST_CASE("servers that crash for other reasons put no request in quarantine",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
@@ -150,60 +153,64 @@
       });
     it.run(20s, {});
     INFO("seed " << seed);
-    CHECK(it.Innocents == 0);
-    CHECK(it.Answered > it.Ordinary / 2);
+    CHECK(it.WronglyQuarantined == 0);
+    CHECK(it.Answered > it.OtherRequests / 2);
   }
 }
 
-TEST_CASE("the quarantine holds while replicas and entries come and go",
+TEST_CASE("the quarantine holds while replicas and entries restart",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     World &world = it.Fleet.world();
-    const auto during = [&](Duration at, std::function<void()> action) {
+    const auto scheduleAt = [&](Duration at, std::function<void()> action) {
       world.after(at, std::move(action));
     };
-    // The leader goes just as the first ends are reported; an entry starts
-    // anew; one sleeps for three seconds; then all replicas start anew.
-    during(1500ms, [&] {
+    // The leader is killed while the first crashes are being reported; one
+    // entry restarts; another is paused for three seconds; then all replicas
+    // restart.
+    scheduleAt(1500ms, [&] {
       if (WorldProcess *leader = world.leader()) {
         world.kill(*leader);
         world.after(2s, [&world, leader] { world.start(*leader); });
       }
     });
-    during(5s, [&] { world.kill(it.Fleet.entry(1)); });
-    during(6s, [&] { world.start(it.Fleet.entry(1)); });
-    during(7s, [&] { world.freeze(it.Fleet.entry(2)); });
-    during(10s, [&] { world.wake(it.Fleet.entry(2)); });
-    during(12s, [&] {
+    scheduleAt(5s, [&] { world.kill(it.Fleet.entry(1)); });
+    scheduleAt(6s, [&] { world.start(it.Fleet.entry(1)); });
+    scheduleAt(7s, [&] { world.freeze(it.Fleet.entry(2)); });
+    scheduleAt(10s, [&] { world.wake(it.Fleet.entry(2)); });
+    scheduleAt(12s, [&] {
       for (std::uint32_t i = 0; i < 3; ++i) {
         world.kill(it.Fleet.replica(i));
         world.after(500ms, [&, i] { world.start(it.Fleet.replica(i)); });
       }
     });
     it.run(20s, {"deadly"});
-    INFO("seed " << seed << ", " << it.endsBy("deadly").size() << " ended");
-    CHECK(it.sendsTooLate("deadly") <= 3);
-    CHECK(it.endsBy("deadly").size() <= 10);
-    CHECK(it.Innocents == 0);
+    INFO("seed " << seed << ", " << it.crashesCausedBy("deadly").size()
+                 << " crashes");
+    CHECK(it.lateArrivals("deadly") <= 3);
+    CHECK(it.crashesCausedBy("deadly").size() <= 10);
+    CHECK(it.WronglyQuarantined == 0);
   }
 }
 
-TEST_CASE("figures of the quarantine", "[.figures]") {
+TEST_CASE("measurements of the quarantine", "[.figures]") {
   for (const std::size_t n : {0U, 1U, 3U, 10U})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      const std::vector<std::string> deadly = deadlyRequests(n);
+      const std::vector<std::string> crashing = crashingRequests(n);
       LoadedFleet it({.World = {.Seed = seed}});
-      it.run(20s, deadly);
-      std::string ends;
+      it.run(20s, crashing);
+      std::string counts;
       int late = 0;
-      for (const std::string &content : deadly) {
-        ends += " " + std::to_string(it.endsBy(content).size());
-        late += it.sendsTooLate(content);
+      for (const std::string &content : crashing) {
+        counts += " " + std::to_string(it.crashesCausedBy(content).size());
+        late += it.lateArrivals(content);
       }
-      std::printf("deadly %zu seed %d: ends%s, late sends %d, innocents %d, "
-                  "ordinary %d answered %d lost %d\n",
-                  n, static_cast<int>(seed), ends.c_str(), late, it.Innocents,
-                  it.Ordinary, it.Answered, it.Lost);
+      std::printf("crashing requests %zu, seed %d: crashes%s, late sends %d, "
+                  "wrongly quarantined %d, other requests %d, answered %d, "
+                  "unanswered %d\n",
+                  n, static_cast<int>(seed), counts.c_str(), late,
+                  it.WronglyQuarantined, it.OtherRequests, it.Answered,
+                  it.Unanswered);
     }
 }
--- a/test/platform/soak/Deployment.h
+++ b/test/platform/soak/Deployment.h
@@ -8,16 +8,16 @@
 namespace pimentofront::soak {
 
 /// \class DeploymentOptions
-/// \brief How large a deployment is; 400 daemons at most.
+/// \brief Size of a deployment; at most 400 daemons.
 struct DeploymentOptions {
   std::string Daemon;
-  /// Takes settings, data folders and logs.
+  /// Folder for settings, data folders and logs.
   std::string Folder;
-  /// First of ten ports in a row that are free on all loopback addresses.
+  /// First of ten consecutive ports that are free on all loopback addresses.
   std::uint16_t FirstPort = 0;
   int Replicas = 3;
   int Entries = 2;
-  /// Engines, each with an agent beside it.
+  /// Number of engines, each with an agent on its host.
   int Engines = 2;
   int PlainServers = 2;
 };
@@ -26,21 +26,21 @@
 struct Daemon {
   std::string Name;
   Child Process;
-  std::unique_ptr<TcpProxy> Peers;
+  std::unique_ptr<TcpProxy> PeerProxy;
   bool IsReplica = false;
 };
 
 /// A backend server with the proxy through which entries reach it.
 struct Server {
   std::string Service;
-  HostPort Registered;
+  HostPort RegisteredAddress;
   std::unique_ptr<testkit::FakeServer> Fake;
-  std::unique_ptr<TcpProxy> Calls;
+  std::unique_ptr<TcpProxy> RequestProxy;
 };
 
 /// \class Deployment
-/// \brief The processes of the system on loopback, each host an address of its
-/// own, with a proxy on each way between them, and stand-ins for the backend
+/// \brief The processes of the system on loopback, with one address per host, a
+/// proxy in front of each daemon and each backend server, and fake backend
 /// servers.
 class Deployment {
 public:
@@ -49,17 +49,20 @@
   std::vector<Daemon> &daemons() { return Daemons; }
   std::vector<Server> &servers() { return Servers; }
   std::vector<TcpProxy *> proxies();
-  /// Where the operator and the backend servers call.
-  const std::vector<HostPort> &controls() const { return Controls; }
-  /// Where callers connect, and which daemon is there.
-  const std::vector<std::pair<HostPort, Daemon *>> &fronts() const {
-    return Fronts;
+  /// \returns the addresses that the operator and the backend servers call.
+  const std::vector<HostPort> &controlAddresses() const {
+    return ControlAddresses;
   }
-  /// How often each request ran, over all backend servers.
+  /// \returns the addresses that callers connect to, with their daemons.
+  const std::vector<std::pair<HostPort, Daemon *>> &entryListeners() const {
+    return EntryListeners;
+  }
+  /// \returns how often each request ran, on all backend servers together.
   const std::map<std::string, int> &runs() const { return Runs; }
-  /// Empties the disk of a replica that doesn't run.
-  void wipe(const Daemon &replica);
-  /// Ends the first start: a replica with an empty disk joins from now on.
+  /// Deletes the data folder of a replica that doesn't run.
+  void deleteData(const Daemon &replica);
+  /// Disables bootstrap in the replicas' settings: a replica that starts with
+  /// an empty disk joins the group from now on.
   void endBootstrap();
 
 private:
@@ -74,14 +77,14 @@
   std::string replicaParts(const std::string &name, bool bootstrap) const;
   void writeSettings(const std::string &name, const std::string &ip,
                      const std::string &parts) const;
-  HostPort at(const std::string &ip, std::uint16_t offset) const;
+  HostPort addressOf(const std::string &ip, std::uint16_t offset) const;
 
   EventLoop &Loop;
   DeploymentOptions Options;
   std::vector<Daemon> Daemons;
   std::vector<Server> Servers;
-  std::vector<HostPort> Controls;
-  std::vector<std::pair<HostPort, Daemon *>> Fronts;
+  std::vector<HostPort> ControlAddresses;
+  std::vector<std::pair<HostPort, Daemon *>> EntryListeners;
   std::map<std::string, int> Runs;
 };
 
--- a/test/platform/soak/FaultPlan.h
+++ b/test/platform/soak/FaultPlan.h
@@ -8,26 +8,26 @@
 
 /// \class FaultPlan
 /// \brief Draws faults from a seed and injects them from outside: signals to
-/// processes, disturbances of the ways between them, lost disks. They come in
-/// series and overlap, with calm spans between.
+/// processes, disturbances of the connections between them, lost disks. Faults
+/// come in series and overlap, with calm periods between the series.
 ///
-/// Kept to: at most one replica has lost its disk until it has had time to
-/// catch up, as the deployment is set up to bear.
+/// Invariant: at most one replica at a time has lost its disk and not yet had
+/// time to catch up, since the deployment is configured to tolerate one loss.
 class FaultPlan {
 public:
   FaultPlan(EventLoop &loop, Deployment &deployment, std::uint64_t seed,
             Report &report);
 
-  /// From now on faults come.
+  /// Starts injecting faults.
   void begin(TimePoint now);
-  /// Ends all that is under way, and starts what doesn't run.
+  /// Stops injecting faults, ends all current ones, and starts the processes
+  /// that wait for a restart.
   void heal();
-  /// \returns since when nothing has been disturbed; not set while something
-  /// is.
+  /// \returns the time since which there has been no fault; not set during one.
   std::optional<TimePoint> calmSince() const;
 
 private:
-  struct Pending {
+  struct ScheduledAction {
     TimePoint At;
     std::function<void()> Action;
   };
@@ -37,21 +37,21 @@
   void disturbProxy(TimePoint now);
   void signalProcess(TimePoint now);
   void loseDisk(TimePoint now);
-  void later(TimePoint at, std::function<void()> action);
-  void note(TimePoint now, const std::string &what);
-  Duration between(Duration least, Duration most);
-  std::size_t draw(std::size_t n);
+  void schedule(TimePoint at, std::function<void()> action);
+  void recordFault(TimePoint now, const std::string &what);
+  Duration randomDuration(Duration least, Duration most);
+  std::size_t randomIndex(std::size_t n);
 
   EventLoop &Loop;
-  Deployment &World;
-  Random Numbers;
-  Report &Seen;
-  TimePoint BegunAt;
+  Deployment &System;
+  Random Rng;
+  Report &Results;
+  TimePoint StartedAt;
   bool Active = false;
-  TimePoint NextAt;
-  TimePoint LastAt;
-  TimePoint DiskSafeAt;
-  std::vector<Pending> Ends;
+  TimePoint NextFaultAt;
+  TimePoint LastFaultAt;
+  TimePoint NextDiskLossAt;
+  std::vector<ScheduledAction> ScheduledActions;
   std::unique_ptr<Timer> Ticker;
 };
 
--- a/test/platform/soak/TcpProxy.h
+++ b/test/platform/soak/TcpProxy.h
@@ -10,25 +10,25 @@
 
 namespace pimentofront::soak {
 
-/// What a proxy does to the connections that pass through it.
+/// The fault that a proxy applies to its connections.
 enum class Disturbance : std::uint8_t {
   None,
-  /// Bytes come later, in both directions.
+  /// Bytes are delayed in both directions.
   Delay,
-  /// Nothing passes until it ends; then all that was held up does.
+  /// Bytes are buffered until the disturbance ends, and delivered then.
   Cut,
-  /// The same in the direction away from whoever connected.
+  /// The same, but only for bytes from the connecting side to the target.
   CutOneWay,
-  /// The connections of now never carry a byte again; new ones do.
+  /// Existing connections never deliver a byte again; new ones work.
   Silence,
-  /// The connections of now are reset; new ones work.
+  /// Existing connections are reset; new ones work.
   Reset,
 };
 const char *disturbanceName(Disturbance disturbance);
 
 /// \class TcpProxy
-/// \brief Carries connections on loopback between two addresses, and disturbs
-/// them from outside of the processes at both ends.
+/// \brief Forwards TCP connections on loopback to a target address and injects
+/// network faults without involving the processes at both ends.
 class TcpProxy {
 public:
   /// \throws std::runtime_error when \p listen can't be bound.
@@ -37,40 +37,41 @@
   TcpProxy(const TcpProxy &) = delete;
   TcpProxy &operator=(const TcpProxy &) = delete;
 
-  /// \param delay counts for Disturbance::Delay only.
+  /// \param delay used by Disturbance::Delay only.
   void disturb(Disturbance disturbance, Duration delay);
-  void heal() { Present = Disturbance::None; }
+  void heal() { Current = Disturbance::None; }
 
 private:
   struct Side {
     bufferevent *Bev = nullptr;
-    /// What came from the other side and when it may go on.
-    std::deque<std::pair<TimePoint, std::string>> Held;
-    /// This side has ended.
-    bool Ended = false;
+    /// Bytes received from the other side, with the time when they may be sent
+    /// on.
+    std::deque<std::pair<TimePoint, std::string>> Buffered;
+    /// Whether this side has closed the connection.
+    bool HasClosed = false;
   };
   struct Connection {
     TcpProxy *Owner = nullptr;
     Side Caller;
     Side Target;
     bool Silent = false;
-    bool Over = false;
+    bool Closed = false;
   };
   static void onAccept(evconnlistener *, int fd, struct sockaddr *, int,
                        void *arg);
   static void onReadable(bufferevent *bev, void *arg);
   static void onEvent(bufferevent *bev, short what, void *arg);
   static void setUp(bufferevent *bev, Connection &connection);
-  bool passes(const Connection &connection, const Side &to) const;
-  void pump(Connection &connection);
-  void end(Connection &connection, bool reset);
+  bool canDeliver(const Connection &connection, const Side &to) const;
+  void deliver(Connection &connection);
+  void close(Connection &connection, bool reset);
   void tick();
 
   EventLoop &Loop;
   HostPort TargetAddress;
   evconnlistener *Listener = nullptr;
   std::list<Connection> Connections;
-  Disturbance Present = Disturbance::None;
+  Disturbance Current = Disturbance::None;
   Duration Delay = Duration::zero();
   std::unique_ptr<Timer> Ticker;
 };
