--- a/bench/LoadMain.cpp
+++ b/bench/LoadMain.cpp
@@ -55,7 +55,7 @@
     const TimePoint begin = Loop.now();
     HttpCall call{.Address = Target,
                   .Headers = {{"Content-Type", "application/json"}},
-                  .OnEnd = [this, begin](const HttpAnswer &answer) {
+                  .OnEnd = [this, begin](const HttpResponse &answer) {
                     if (answer.Status == 200)
                       Latencies.push_back(toSeconds(Loop.now() - begin));
                     else
--- a/bench/RecoveryMain.cpp
+++ b/bench/RecoveryMain.cpp
@@ -22,7 +22,7 @@
 
 /// A simulated group of three replicas in three zones, and some entries.
 struct Group {
-  Group(std::uint64_t seed, int entries) : Simulation({.Seed = seed}) {
+  Group(std::uint64_t seed, int entries) : Sim({.Seed = seed}) {
     const std::vector<std::string> addresses = {"n0", "n1", "n2"};
     for (int i = 0; i < 3; ++i) {
       const HostName host("n" + std::to_string(i));
@@ -30,8 +30,8 @@
       spec.IsReplica = true;
       spec.Replica.Log.Host = host;
       spec.Replica.Log.Address = host.str();
-      spec.Replica.Others = addresses;
-      Simulation.start(Simulation.add(spec));
+      spec.Replica.PeerAddresses = addresses;
+      Sim.start(Sim.add(spec));
     }
     for (int i = 0; i < entries; ++i) {
       const HostName host("e" + std::to_string(i));
@@ -42,23 +42,23 @@
       spec.MakeRouting = [] {
         return std::make_unique<AffinityRouting>(AffinityOptions{});
       };
-      Simulation.start(Simulation.add(spec));
+      Sim.start(Sim.add(spec));
     }
-    Simulation.runUntil(Simulation.now() + 1s);
-    Simulation.process(HostName("n0")).Replica->bootstrap(Simulation.now());
-    Simulation.runUntil(Simulation.now() + 9s);
+    Sim.runUntil(Sim.now() + 1s);
+    Sim.process(HostName("n0")).Replica->bootstrap(Sim.now());
+    Sim.runUntil(Sim.now() + 9s);
   }
 
   /// Runs the simulation until \p done returns true, for 60 s at most.
   /// \returns the elapsed virtual time in seconds.
   template <class Done> double until(Done &&done) {
-    const TimePoint begin = Simulation.now();
-    while (!done() && Simulation.now() < begin + 60s)
-      Simulation.runUntil(Simulation.now() + Step);
-    return toSeconds(Simulation.now() - begin);
+    const TimePoint begin = Sim.now();
+    while (!done() && Sim.now() < begin + 60s)
+      Sim.runUntil(Sim.now() + Step);
+    return toSeconds(Sim.now() - begin);
   }
 
-  World Simulation;
+  Simulation Sim;
 };
 
 void print(const char *what, std::vector<double> times) {
@@ -69,17 +69,17 @@
 
 double timeWithoutLeader(std::uint64_t seed, bool cut) {
   Group group(seed, 0);
-  WorldProcess *former = group.Simulation.leader();
+  SimulatedProcess *former = group.Sim.leader();
   if (!cut)
-    group.Simulation.kill(*former);
-  for (WorldProcess *it : group.Simulation.processes()) {
+    group.Sim.kill(*former);
+  for (SimulatedProcess *it : group.Sim.processes()) {
     if (!cut || it == former)
       continue;
-    group.Simulation.cut(former->Spec.Host, it->Spec.Host);
-    group.Simulation.cut(it->Spec.Host, former->Spec.Host);
+    group.Sim.cut(former->Spec.Host, it->Spec.Host);
+    group.Sim.cut(it->Spec.Host, former->Spec.Host);
   }
   return group.until([&] {
-    const WorldProcess *it = group.Simulation.leader();
+    const SimulatedProcess *it = group.Sim.leader();
     return it && it != former;
   });
 }
@@ -88,23 +88,20 @@
 /// at all entries.
 double timeToApply(std::uint64_t seed, int entries, bool leaderDies) {
   Group group(seed, entries);
-  WorldProcess &first = group.Simulation.process(HostName("e0"));
+  SimulatedProcess &first = group.Sim.process(HostName("e0"));
   Revision accepted = 0;
-  group.Simulation.command(
-      first,
-      {.Id = CommandId("c"),
-       .Operator = OperatorName("o"),
-       .Body = SetKind{{.Name = KindName("k")}}},
-      [&](const auto &outcome) { accepted = outcome->At; });
+  group.Sim.command(first,
+                    {.Id = CommandId("c"),
+                     .Operator = OperatorName("o"),
+                     .Body = SetKind{{.Name = KindName("k")}}},
+                    [&](const auto &outcome) { accepted = outcome->At; });
   group.until([&] { return accepted != 0; });
   if (leaderDies)
-    group.Simulation.kill(*group.Simulation.leader());
+    group.Sim.kill(*group.Sim.leader());
   return group.until([&] {
-    return std::ranges::all_of(
-        group.Simulation.processes(), [&](const auto *it) {
-          return !it->Entry ||
-                 it->Entry->configuration().revision() >= accepted;
-        });
+    return std::ranges::all_of(group.Sim.processes(), [&](const auto *it) {
+      return !it->Entry || it->Entry->configuration().revision() >= accepted;
+    });
   });
 }
 
--- a/packages/api/pimentofront/src/Api/Envelope.h
+++ b/packages/api/pimentofront/src/Api/Envelope.h
@@ -40,7 +40,7 @@
   /// \returns whether the bytes can't be a stream of envelopes.
   bool malformed() const { return Malformed; }
   /// \returns whether bytes of an incomplete envelope are left.
-  bool hasRest() const { return !Buffer.empty(); }
+  bool hasPartialEnvelope() const { return !Buffer.empty(); }
 
 private:
   std::size_t MaxMessageBytes;
--- a/packages/ctl/src/Client.cpp
+++ b/packages/ctl/src/Client.cpp
@@ -14,7 +14,7 @@
   return "/pimentofront.v1." + method;
 }
 
-bool report(const HttpAnswer &answer) {
+bool report(const HttpResponse &answer) {
   if (answer.Ending != HttpEnding::Complete) {
     std::fputs(answer.Ending == HttpEnding::NotSent
                    ? "cannot connect: the call was not sent\n"
@@ -63,12 +63,12 @@
 
 } // namespace
 
-HttpAnswer Client::run(HttpCall call) {
+HttpResponse Client::run(HttpCall call) {
   EventLoop loop;
   HttpClient client(loop);
-  HttpAnswer result;
+  HttpResponse result;
   call.Address = Address;
-  call.OnEnd = [&](const HttpAnswer &answer) {
+  call.OnEnd = [&](const HttpResponse &answer) {
     result = answer;
     loop.stop();
   };
@@ -88,7 +88,7 @@
                     const google::protobuf::Message &request) {
   StreamPrinter printer;
   const std::string body = writeMessage(ConnectCodec::Json, request);
-  const HttpAnswer answer =
+  const HttpResponse answer =
       run({.Path = pathOf(method),
            .Headers = {{"Content-Type", "application/connect+json"}},
            .Body = encodeEnvelope(0, body),
--- a/packages/ctl/src/Client.h
+++ b/packages/ctl/src/Client.h
@@ -22,7 +22,7 @@
               const google::protobuf::Message &request);
 
 private:
-  HttpAnswer run(HttpCall call);
+  HttpResponse run(HttpCall call);
 
   HostPort Address;
 };
--- a/packages/ctl/src/TimeLine.cpp
+++ b/packages/ctl/src/TimeLine.cpp
@@ -96,7 +96,7 @@
   }
 }
 
-void TimeLine::keepRequest(const std::string &request) {
+void TimeLine::removeOtherRequests(const std::string &request) {
   std::erase_if(Events, [&](const TimeLineEvent &it) {
     return !it.Request.empty() && it.Request != request;
   });
@@ -218,7 +218,7 @@
   return text;
 }
 
-std::string TimeLine::toPage() const {
+std::string TimeLine::toHtml() const {
   std::set<std::string> hosts;
   for (const TimeLineEvent &it : Events)
     hosts.insert(it.Host);
--- a/packages/ctl/src/TimeLine.h
+++ b/packages/ctl/src/TimeLine.h
@@ -34,7 +34,7 @@
               Findings &findings);
   /// Removes the events of all other requests. Events that belong to no request
   /// stay.
-  void keepRequest(const std::string &request);
+  void removeOtherRequests(const std::string &request);
   /// Sorts the events by timestamp; must be called after all logs are added.
   void sort();
 
@@ -44,7 +44,7 @@
   /// it ended; empty if no line names the request. Needs sort() before.
   std::string explain(const std::string &request) const;
   /// \returns a self-contained HTML page with a column for each host.
-  std::string toPage() const;
+  std::string toHtml() const;
 
 private:
   std::vector<TimeLineEvent> Events;
--- a/packages/ctl/src/main.cpp
+++ b/packages/ctl/src/main.cpp
@@ -260,12 +260,12 @@
   Findings findings;
   TimeLine line = readLogs(arguments, 1, findings);
   if (!arguments.Request.empty())
-    line.keepRequest(arguments.Request);
+    line.removeOtherRequests(arguments.Request);
   line.sort();
   if (arguments.Page.empty())
     std::fputs(line.toText().c_str(), stdout);
   else
-    std::ofstream(arguments.Page) << line.toPage();
+    std::ofstream(arguments.Page) << line.toHtml();
   std::fputs(findings.toText().c_str(), stderr);
   return exitCode(findings.empty());
 }
--- a/packages/daemon/src/ApiHandler.cpp
+++ b/packages/daemon/src/ApiHandler.cpp
@@ -133,7 +133,7 @@
     const ServerSet &servers = Nodes.Forward->controller().board().Servers;
     const FeedbackCounts counts = servers.countFeedback(now);
     gauges.LimitedServers = counts.Limited;
-    gauges.RestingServers = counts.BackingOff;
+    gauges.BackingOffServers = counts.BackingOff;
     gauges.LeavingServers = counts.Leaving;
     gauges.ColdServers = counts.Cold;
     gauges.EvacuatedZones =
@@ -207,7 +207,7 @@
     EnvelopeReader reader(Options.MaxBodyBytes);
     reader.feed(call.Body);
     const auto envelope = reader.next();
-    if (!envelope || envelope->Flags != 0 || reader.hasRest())
+    if (!envelope || envelope->Flags != 0 || reader.hasPartialEnvelope())
       return call.fail({.Code = ConnectCode::InvalidArgument,
                         .Message = "expected one message in one envelope"});
     call.Body = envelope->Message;
@@ -285,8 +285,8 @@
   pending.Id = request.Id;
   pending.ArrivedAt = Loop.now();
   pending.Text = request.ResumeText;
-  pending.Call.Exchange->onGone([this, key] {
-    Nodes.Entry->callerGone(Loop.now(), key);
+  pending.Call.Exchange->onDisconnect([this, key] {
+    Nodes.Entry->callerDisconnected(Loop.now(), key);
     Calls.erase(key);
   });
   Log.write(LogLevel::Info, "request_received",
@@ -311,7 +311,7 @@
       keys.push_back(key);
   response.set_found(!keys.empty());
   for (const RequestKey it : keys)
-    Nodes.Entry->callerGone(Loop.now(), it);
+    Nodes.Entry->callerDisconnected(Loop.now(), it);
   call.succeed(response);
 }
 
--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -78,7 +78,7 @@
       *Control);
   Client = std::make_unique<HttpClient>(Loop);
   if (Options.IsForward)
-    Front = std::make_unique<ForwardFront>(
+    Front = std::make_unique<ForwardIo>(
         Loop, *HostPort::parse(Options.ForwardAddress), *Log, Counters);
 }
 
@@ -90,8 +90,8 @@
   replica.Documents = &Documents;
   replica.Loads.LoadsPerSecond = Options.LoadsPerSecond;
   replica.Loads.LoadTime = fromSeconds(1 / Options.LoadsPerSecond);
-  replica.Others = Options.Replicas;
-  std::erase(replica.Others, Options.PeerAddress);
+  replica.PeerAddresses = Options.Replicas;
+  std::erase(replica.PeerAddresses, Options.PeerAddress);
   Replica = std::make_unique<ReplicaNode>(now, replica, Stored, *Store,
                                           *Network, Wall);
   Stored = StoredLog();
@@ -417,7 +417,7 @@
     Log->write(LogLevel::Error, "stop_limit_hit",
                {{"limit_seconds", toSeconds(Options.StopLimit)}});
   if (Agent)
-    Agent->sayGoodbye(Loop.now());
+    Agent->sendLeaveMessage(Loop.now());
   // Gives the leave message time to be sent.
   constexpr Duration LeaveMessageDelay = std::chrono::milliseconds(100);
   StopTimer = Loop.after(LeaveMessageDelay, [this] { Loop.stop(); });
--- a/packages/daemon/src/Daemon.h
+++ b/packages/daemon/src/Daemon.h
@@ -5,7 +5,7 @@
 #include "ControlApi.h"
 #include "EngineDriver.h"
 #include "EngineOrders.h"
-#include "ForwardFront.h"
+#include "ForwardIo.h"
 #include "ManifestReader.h"
 #include "RequestHeaders.h"
 
@@ -94,7 +94,7 @@
   std::unique_ptr<RoutingPolicy> ForwardRouting;
   std::unique_ptr<EngineDriver> Driver;
   std::unique_ptr<platform::EngineOrders> Orders;
-  std::unique_ptr<ForwardFront> Front;
+  std::unique_ptr<ForwardIo> Front;
   std::unique_ptr<EntryNode> Entry;
   std::unique_ptr<ForwardNode> Forward;
   std::unique_ptr<AgentNode> Agent;
--- a/packages/daemon/src/EngineDriver.cpp
+++ b/packages/daemon/src/EngineDriver.cpp
@@ -101,7 +101,7 @@
   call.OnPiece = [this, attempt](std::string_view bytes) {
     onPiece(attempt, bytes);
   };
-  call.OnEnd = [this, attempt](const HttpAnswer &answer) {
+  call.OnEnd = [this, attempt](const HttpResponse &answer) {
     onGenerationEnd(attempt, answer);
   };
   Generation &generation = Generations[attempt];
@@ -135,7 +135,7 @@
 }
 
 void EngineDriver::onGenerationEnd(const AttemptId &attempt,
-                                   const HttpAnswer &answer) {
+                                   const HttpResponse &answer) {
   const auto it = Generations.find(attempt);
   if (it == Generations.end())
     return;
@@ -193,14 +193,14 @@
                 .Body = request.Payload,
                 .Timeout = request.Remaining,
                 .FreshConnection = true};
-  call.OnEnd = [this, attempt](const HttpAnswer &answer) {
+  call.OnEnd = [this, attempt](const HttpResponse &answer) {
     onServiceEnd(attempt, answer);
   };
   ServiceCalls[attempt] = Client.start(std::move(call));
 }
 
 void EngineDriver::onServiceEnd(const AttemptId &attempt,
-                                const HttpAnswer &answer) {
+                                const HttpResponse &answer) {
   ServiceCalls.erase(attempt);
   AgentController &controller = Node->controller();
   constexpr int StatusClass = 100;
@@ -232,7 +232,7 @@
   HttpCall call = post("/v1/unload_lora_adapter",
                        dump({{"lora_name", engineName(*load.Victim)}}));
   call.Timeout = LoadTimeout;
-  call.OnEnd = [this, load, loadStart](const HttpAnswer &answer) {
+  call.OnEnd = [this, load, loadStart](const HttpResponse &answer) {
     if (answer.Status != StatusOk)
       return onLoadEnd(load, loadStart, false);
     sendLoad(load, loadStart);
@@ -245,7 +245,7 @@
       "/v1/load_lora_adapter",
       dump({{"lora_name", engineName(load.Key)}, {"lora_path", load.Source}}));
   call.Timeout = LoadTimeout;
-  call.OnEnd = [this, load, loadStart](const HttpAnswer &answer) {
+  call.OnEnd = [this, load, loadStart](const HttpResponse &answer) {
     onLoadEnd(load, loadStart, answer.Status == StatusOk);
   };
   Client.start(std::move(call));
@@ -277,13 +277,13 @@
                 .Method = "GET",
                 .Path = "/metrics",
                 .Timeout = ProbeTimeout,
-                .OnEnd = [this](const HttpAnswer &answer) {
+                .OnEnd = [this](const HttpResponse &answer) {
                   ProbeInFlight = false;
                   onMetrics(answer);
                 }});
 }
 
-void EngineDriver::onMetrics(const HttpAnswer &answer) {
+void EngineDriver::onMetrics(const HttpResponse &answer) {
   const auto started = metricValue(answer.Body, "process_start_time_seconds");
   if (answer.Status != StatusOk || !started)
     return engineLost("the engine does not answer");
@@ -298,12 +298,12 @@
                 .Method = "GET",
                 .Path = "/v1/models",
                 .Timeout = ProbeTimeout,
-                .OnEnd = [this, at, idle](const HttpAnswer &models) {
+                .OnEnd = [this, at, idle](const HttpResponse &models) {
                   onModels(models, at, idle);
                 }});
 }
 
-void EngineDriver::onModels(const HttpAnswer &answer, double startedAt,
+void EngineDriver::onModels(const HttpResponse &answer, double startedAt,
                             bool idle) {
   const Json json = Json::parse(answer.Body, nullptr, false);
   if (answer.Status != StatusOk || json.is_discarded() ||
--- a/packages/daemon/src/EngineDriver.h
+++ b/packages/daemon/src/EngineDriver.h
@@ -38,14 +38,14 @@
   };
 
   void onPiece(const AttemptId &attempt, std::string_view bytes);
-  void onGenerationEnd(const AttemptId &attempt, const HttpAnswer &answer);
-  void onServiceEnd(const AttemptId &attempt, const HttpAnswer &answer);
+  void onGenerationEnd(const AttemptId &attempt, const HttpResponse &answer);
+  void onServiceEnd(const AttemptId &attempt, const HttpResponse &answer);
   void unload(const StartLoad &load, TimePoint loadStart);
   void sendLoad(const StartLoad &load, TimePoint loadStart);
   void onLoadEnd(const StartLoad &load, TimePoint loadStart, bool succeeded);
   void probe();
-  void onMetrics(const HttpAnswer &answer);
-  void onModels(const HttpAnswer &answer, double startedAt, bool idle);
+  void onMetrics(const HttpResponse &answer);
+  void onModels(const HttpResponse &answer, double startedAt, bool idle);
   void engineLost(const char *why);
   HttpCall post(const std::string &path, std::string body) const;
 
--- a/packages/daemon/src/ForwardFront.cpp
+++ b/packages/daemon/src/ForwardIo.cpp
@@ -1,35 +1,35 @@
-#include "ForwardFront.h"
+#include "ForwardIo.h"
 
 namespace pimentofront {
 
-ForwardFront::ForwardFront(EventLoop &loop, const HostPort &listen,
-                           EventLog &log, Metrics &metrics)
+ForwardIo::ForwardIo(EventLoop &loop, const HostPort &listen, EventLog &log,
+                     Metrics &metrics)
     : Loop(loop), Log(log), Counters(metrics),
       Callers(loop, {.Address = listen}, *this), Servers(loop, {}, *this),
       Probe(loop) {}
 
-void ForwardFront::onRequest(CallerKey key, RequestHead head, std::string body,
-                             const ContentHash &bodyHash) {
+void ForwardIo::onRequest(CallerKey key, RequestHead head, std::string body,
+                          const ContentHash &bodyHash) {
   Node->request(Loop.now(), key, std::move(head), std::move(body), bodyHash);
 }
 
-void ForwardFront::onCallerDisconnected(CallerKey key) {
-  Node->callerGone(Loop.now(), key);
+void ForwardIo::onCallerDisconnected(CallerKey key) {
+  Node->callerDisconnected(Loop.now(), key);
 }
 
-HeadDecision ForwardFront::onHead(const AttemptId &attempt, ResponseHead head) {
+HeadDecision ForwardIo::onHead(const AttemptId &attempt, ResponseHead head) {
   return Node->upstreamHead(Loop.now(), attempt, std::move(head));
 }
 
-void ForwardFront::onBody(const AttemptId &attempt, std::string_view bytes) {
+void ForwardIo::onBody(const AttemptId &attempt, std::string_view bytes) {
   Node->upstreamBody(Loop.now(), attempt, bytes);
 }
 
-void ForwardFront::onEnd(const AttemptId &attempt, UpstreamEnding ending) {
+void ForwardIo::onEnd(const AttemptId &attempt, UpstreamEnding ending) {
   Node->upstreamEnd(Loop.now(), attempt, ending);
 }
 
-void ForwardFront::onCommand(ForwardCommand command) {
+void ForwardIo::onCommand(ForwardCommand command) {
   if (const auto *piece = std::get_if<ReplyPiece>(&command))
     Callers.replyPiece(piece->Key, piece->Bytes);
   else if (const auto *send = std::get_if<SendUpstream>(&command))
@@ -50,14 +50,14 @@
     checkServer(*check);
 }
 
-void ForwardFront::checkServer(const CheckServer &check) {
+void ForwardIo::checkServer(const CheckServer &check) {
   Probe.start(check.Address,
               [this, server = check.Server](ServerCheckResult life) {
                 Node->serverChecked(Loop.now(), server, life);
               });
 }
 
-void ForwardFront::onEvent(const ForwardEvent &event) {
+void ForwardIo::onEvent(const ForwardEvent &event) {
   Counters.recordForwardEvent(event);
   Log.write(event.Lost ? LogLevel::Warn : LogLevel::Info, event.Name,
             {{"request", event.Request},
@@ -70,7 +70,7 @@
              {"took_ms", toSeconds(event.Took) * 1000}});
 }
 
-void ForwardFront::onTable(const RoutingTable &table) {
+void ForwardIo::onTable(const RoutingTable &table) {
   Callers.setLimits(table.document().Limits);
   Log.write(
       LogLevel::Info, "routing_in_force",
--- a/packages/daemon/src/ForwardFront.h
+++ b/packages/daemon/src/ForwardIo.h
@@ -1,5 +1,5 @@
-#ifndef PIMENTOFRONT_DAEMON_FORWARD_FRONT_H
-#define PIMENTOFRONT_DAEMON_FORWARD_FRONT_H
+#ifndef PIMENTOFRONT_DAEMON_FORWARD_IO_H
+#define PIMENTOFRONT_DAEMON_FORWARD_IO_H
 
 #include "EventLog.h"
 #include "Metrics.h"
@@ -7,17 +7,17 @@
 
 namespace pimentofront {
 
-/// \class ForwardFront
+/// \class ForwardIo
 /// \brief The I/O of request forwarding: accepts callers' connections, opens
 /// connections to backend servers, and passes events to the ForwardNode, whose
 /// commands it carries out.
-class ForwardFront : public CallerHandler,
-                     public UpstreamHandler,
-                     public ForwardSink {
+class ForwardIo : public CallerHandler,
+                  public UpstreamHandler,
+                  public ForwardSink {
 public:
   /// \throws std::runtime_error if \p listen can't be bound.
-  ForwardFront(EventLoop &loop, const HostPort &listen, EventLog &log,
-               Metrics &metrics);
+  ForwardIo(EventLoop &loop, const HostPort &listen, EventLog &log,
+            Metrics &metrics);
 
   /// Sets the node that gets the events; must be called before the loop runs.
   void setNode(ForwardNode &node) { Node = &node; }
--- a/packages/daemon/src/LogGate.cpp
+++ b/packages/daemon/src/LogRateLimiter.cpp
@@ -1,11 +1,11 @@
-#include "LogGate.h"
+#include "LogRateLimiter.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace pimentofront {
 
-bool LogGate::take(TimePoint now, const std::string &event) {
+bool LogRateLimiter::allow(TimePoint now, const std::string &event) {
   const auto [it, isNew] =
       Buckets.try_emplace(event, Bucket{.Tokens = Options.Burst, .At = now});
   Bucket &bucket = it->second;
@@ -20,7 +20,7 @@
   return true;
 }
 
-std::map<std::string, std::uint64_t> LogGate::takeLeftOut() {
+std::map<std::string, std::uint64_t> LogRateLimiter::takeOmitted() {
   std::map<std::string, std::uint64_t> result;
   for (auto &[event, bucket] : Buckets)
     if (const auto n = std::exchange(bucket.Omitted, 0))
--- a/packages/daemon/src/LogGate.h
+++ b/packages/daemon/src/LogRateLimiter.h
@@ -1,5 +1,5 @@
-#ifndef PIMENTOFRONT_DAEMON_LOG_GATE_H
-#define PIMENTOFRONT_DAEMON_LOG_GATE_H
+#ifndef PIMENTOFRONT_DAEMON_LOG_RATE_LIMITER_H
+#define PIMENTOFRONT_DAEMON_LOG_RATE_LIMITER_H
 
 #include "pimentofront/Base.h"
 
@@ -8,8 +8,8 @@
 
 namespace pimentofront {
 
-/// \class LogGateOptions
-struct LogGateOptions {
+/// \class LogRateLimiterOptions
+struct LogRateLimiterOptions {
   /// Maximum number of lines of one event in a burst.
   double Burst = 40;
   /// Maximum long-run rate of one event, in lines per second. A line costs
@@ -17,18 +17,19 @@
   double PerSecond = 20;
 };
 
-/// \class LogGate
+/// \class LogRateLimiter
 /// \brief Limits the log lines of each event with a token bucket per event, and
 /// counts the omitted lines.
-class LogGate {
+class LogRateLimiter {
 public:
-  LogGate() : LogGate(LogGateOptions()) {}
-  explicit LogGate(const LogGateOptions &options) : Options(options) {}
+  LogRateLimiter() : LogRateLimiter(LogRateLimiterOptions()) {}
+  explicit LogRateLimiter(const LogRateLimiterOptions &options)
+      : Options(options) {}
 
   /// \returns whether a line of \p event may be written now.
-  bool take(TimePoint now, const std::string &event);
+  bool allow(TimePoint now, const std::string &event);
   /// \returns the number of lines of each event omitted since the last call.
-  std::map<std::string, std::uint64_t> takeLeftOut();
+  std::map<std::string, std::uint64_t> takeOmitted();
 
 private:
   struct Bucket {
@@ -36,7 +37,7 @@
     TimePoint At;
     std::uint64_t Omitted = 0;
   };
-  LogGateOptions Options;
+  LogRateLimiterOptions Options;
   std::map<std::string, Bucket> Buckets;
 };
 
--- a/packages/daemon/src/Metrics.cpp
+++ b/packages/daemon/src/Metrics.cpp
@@ -128,7 +128,7 @@
   put("batch_capacity", gauges.BatchCapacity);
   put("engine_rate_limit", gauges.EngineRateLimit);
   put("limited_servers", gauges.LimitedServers);
-  put("resting_servers", gauges.RestingServers);
+  put("resting_servers", gauges.BackingOffServers);
   put("leaving_servers", gauges.LeavingServers);
   put("cold_servers", gauges.ColdServers);
   put("evacuated_zones", gauges.EvacuatedZones);
--- a/packages/daemon/src/Metrics.h
+++ b/packages/daemon/src/Metrics.h
@@ -23,7 +23,7 @@
   /// Numbers of backend servers that limit their request rate, are backing off,
   /// are leaving or are cold, by the last reports that this entry received.
   double LimitedServers = 0;
-  double RestingServers = 0;
+  double BackingOffServers = 0;
   double LeavingServers = 0;
   double ColdServers = 0;
   /// Zones evacuated by operators, by the configuration that this entry has.
--- a/packages/daemon/src/Settings.cpp
+++ b/packages/daemon/src/Settings.cpp
@@ -130,7 +130,7 @@
     const auto losses =
         static_cast<std::uint32_t>(reader.integer("tolerated_losses", 1, 0, 4));
     replica.Log.WantedVoters = 2 * losses + 1;
-    replica.VotersAtFirst = replica.Log.WantedVoters;
+    replica.InitialVoters = replica.Log.WantedVoters;
   }
   replica.Log.HeartbeatPeriod =
       reader.milliseconds("heartbeat_ms", replica.Log.HeartbeatPeriod);
@@ -138,10 +138,10 @@
       reader.milliseconds("election_timeout_ms", replica.Log.ElectionTimeout);
   // The last repetition may be in transit for up to the duration of a call.
   constexpr Duration MaxCallDuration = std::chrono::seconds(1);
-  replica.OrdersResentFor =
+  replica.OrderResendWindow =
       MaxCallDuration +
       reader.milliseconds("orders_resent_ms",
-                          replica.OrdersResentFor - MaxCallDuration);
+                          replica.OrderResendWindow - MaxCallDuration);
   AllotmentRules &allotments = replica.Allotments;
   constexpr double MaxWindowSeconds = 3600;
   allotments.Window = fromSeconds(reader.real(
@@ -152,8 +152,8 @@
   // A lowered limit has to be in force one window after it is known, so a
   // lease lasts half a window at most.
   allotments.Lease = std::min(allotments.Lease, allotments.Window / 2);
-  replica.CompactAfter = reader.integer("compact_after_entries",
-                                        replica.CompactAfter, 16, MaxCount);
+  replica.CompactAfterEntries = reader.integer(
+      "compact_after_entries", replica.CompactAfterEntries, 16, MaxCount);
   if (replica.Log.ElectionTimeout < 3 * replica.Log.HeartbeatPeriod)
     reader.addFault("election_timeout_ms",
                     "expected at least three times heartbeat_ms");
--- a/packages/forward/pimentofront/src/Forward/AnswerController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.cpp
@@ -174,7 +174,7 @@
                              ReleaseKind::NotRun);
   if (ending == UpstreamEnding::Complete && request->Attempt->Head)
     return complete(now, *request);
-  if (ending == UpstreamEnding::TurnedAway)
+  if (ending == UpstreamEnding::Rejected)
     Board.Servers.recordRejection(now, request->Attempt->Server);
   brokeOff(now, *request, /*serverMayHaveExited=*/true);
 }
--- a/packages/forward/pimentofront/src/Forward/AnswerController.h
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.h
@@ -15,7 +15,7 @@
   BrokeOff,
   /// Like BrokeOff, on a new connection that the server closed before it
   /// answered anything: most likely it has as many connections as it accepts.
-  TurnedAway,
+  Rejected,
 };
 
 /// How to continue after the head of an answer.
--- a/packages/http/pimentofront/src/Http/CallerChannel.cpp
+++ b/packages/http/pimentofront/src/Http/CallerChannel.cpp
@@ -33,7 +33,7 @@
 CallerChannel::CallerChannel(CallerListener &owner, std::uint64_t id,
                              bufferevent *bev)
     : Owner(owner), Id(id), Bev(bev),
-      Parser(HttpSide::Requests, limitsOf(owner.Options.Limits), *this),
+      Parser(HttpMessageKind::Requests, limitsOf(owner.Options.Limits), *this),
       StateSince(owner.Loop.now()) {
   bufferevent_setcb(Bev, onReadable, onWritten, onEvent, this);
   bufferevent_enable(Bev, EV_READ | EV_WRITE);
--- a/packages/http/pimentofront/src/Http/HttpParser.cpp
+++ b/packages/http/pimentofront/src/Http/HttpParser.cpp
@@ -45,10 +45,12 @@
   bool SkipsBody = false;
   bool ResponseHasNoBody = false;
 
-  Impl(HttpSide side, const HttpLimits &limits, HttpMessageHandler &handler)
+  Impl(HttpMessageKind side, const HttpLimits &limits,
+       HttpMessageHandler &handler)
       : Handler(handler), Limits(limits) {
-    http_parser_init(&Parser,
-                     side == HttpSide::Requests ? HTTP_REQUEST : HTTP_RESPONSE);
+    http_parser_init(&Parser, side == HttpMessageKind::Requests
+                                  ? HTTP_REQUEST
+                                  : HTTP_RESPONSE);
     Parser.data = this;
   }
 
@@ -175,7 +177,7 @@
   }
 };
 
-HttpParser::HttpParser(HttpSide side, const HttpLimits &limits,
+HttpParser::HttpParser(HttpMessageKind side, const HttpLimits &limits,
                        HttpMessageHandler &handler)
     : State(new Impl(side, limits, handler)) {}
 
--- a/packages/http/pimentofront/src/Http/HttpParser.h
+++ b/packages/http/pimentofront/src/Http/HttpParser.h
@@ -8,7 +8,7 @@
 namespace pimentofront {
 
 /// Kind of messages that a parser reads.
-enum class HttpSide : std::uint8_t { Requests, Answers };
+enum class HttpMessageKind : std::uint8_t { Requests, Responses };
 
 /// \class HttpLimits
 /// \ingroup Http
@@ -46,7 +46,7 @@
 /// another way (request smuggling).
 class HttpParser {
 public:
-  HttpParser(HttpSide side, const HttpLimits &limits,
+  HttpParser(HttpMessageKind side, const HttpLimits &limits,
              HttpMessageHandler &handler);
   ~HttpParser();
   HttpParser(const HttpParser &) = delete;
--- a/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamChannel.cpp
@@ -27,9 +27,9 @@
 UpstreamChannel::UpstreamChannel(UpstreamPool &owner, std::uint64_t id,
                                  std::string address)
     : Owner(owner), Id(id), Address(std::move(address)),
-      Parser(HttpSide::Answers,
+      Parser(HttpMessageKind::Responses,
              {.MaxHeadBytes = owner.Options.MaxResponseHeadBytes}, *this),
-      OpenedAt(owner.Loop.now()), KeepAlive(owner.Options.DefaultKeep) {
+      OpenedAt(owner.Loop.now()), KeepAlive(owner.Options.DefaultKeepAlive) {
   const std::optional<HostPort> parsed = HostPort::parse(Address);
   const int fd =
       ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -103,7 +103,7 @@
   const std::string *value = findHeader(headers, "keep-alive");
   const auto seconds = value ? keepAliveSeconds(*value) : std::nullopt;
   KeepAlive = seconds ? fromSeconds(*seconds * Owner.Options.KeepAliveShare)
-                      : Owner.Options.DefaultKeep;
+                      : Owner.Options.DefaultKeepAlive;
 }
 
 void UpstreamChannel::finishResponse() {
@@ -158,8 +158,8 @@
 
 UpstreamEnding UpstreamChannel::endingOnClose() const {
   const TimePoint now = Owner.Loop.now();
-  const bool soon = now < ConnectedAt + Owner.Options.TurnedAwayWithin;
-  return !ReceivedAny && soon ? UpstreamEnding::TurnedAway
+  const bool soon = now < ConnectedAt + Owner.Options.RejectedWithin;
+  return !ReceivedAny && soon ? UpstreamEnding::Rejected
                               : UpstreamEnding::BrokeOff;
 }
 
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -30,8 +30,8 @@
 
 void UpstreamPool::closeSurplusIdle(Peer &peer, std::uint32_t more) {
   const auto tooMany = [&] {
-    return peer.Idle.size() > peer.Part.Kept ||
-           std::uint64_t(peer.Open) + more > peer.Part.Open;
+    return peer.Idle.size() > peer.Limits.Kept ||
+           std::uint64_t(peer.Open) + more > peer.Limits.Open;
   };
   // end() removes the channel from the list.
   while (!peer.Idle.empty() && tooMany())
@@ -60,9 +60,9 @@
 void UpstreamPool::send(const SendUpstream &request) {
   Peer &peer = Peers[request.Address];
   setProcess(peer, request.Server);
-  peer.Part = request.Connections;
+  peer.Limits = request.Connections;
   detail::UpstreamChannel *channel =
-      takeIdle(peer, request.Once ? Options.OnceIdle : Duration::max());
+      takeIdle(peer, request.Once ? Options.MaxIdleForOnce : Duration::max());
   if (!channel) {
     closeSurplusIdle(peer, /*more=*/1);
     channel = &open(peer, request.Address);
--- a/packages/http/pimentofront/src/Http/UpstreamPool.h
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.h
@@ -30,14 +30,14 @@
   /// server is just closing.
   double KeepAliveShare = 0.5;
   /// Keep-alive time of connections whose server announces none.
-  Duration DefaultKeep = std::chrono::milliseconds(300);
+  Duration DefaultKeepAlive = std::chrono::milliseconds(300);
   /// Maximum idle time of a connection that is reused for a request that may
   /// run only once: after a longer time it may have closed unnoticed.
-  Duration OnceIdle = std::chrono::milliseconds(500);
+  Duration MaxIdleForOnce = std::chrono::milliseconds(500);
   /// A new connection that closes within this time without a response was
   /// rejected: some round trips between zones, less than a server takes to
   /// process a request.
-  Duration TurnedAwayWithin = std::chrono::milliseconds(20);
+  Duration RejectedWithin = std::chrono::milliseconds(20);
   std::size_t MaxResponseHeadBytes = std::size_t(64) << 10;
 };
 
@@ -77,7 +77,7 @@
   /// Connections to one address.
   struct Peer {
     std::uint32_t Open = 0;
-    ConnectionLimits Part;
+    ConnectionLimits Limits;
     /// The process at the address, as the last request named it.
     ServerProcess Server;
     /// Idle connections, the most recently used one last.
--- a/packages/net/pimentofront/src/Net/HttpClient.cpp
+++ b/packages/net/pimentofront/src/Net/HttpClient.cpp
@@ -99,7 +99,7 @@
     idle.push_back(con);
   }
 
-  void finish(HttpCallId id, const HttpAnswer &answer, bool reusable) {
+  void finish(HttpCallId id, const HttpResponse &answer, bool reusable) {
     const auto it = Active.find(id);
     if (it == Active.end())
       return;
@@ -129,11 +129,11 @@
     const int status = req ? evhttp_request_get_response_code(req) : 0;
     if (status == 0) {
       const bool unsent = req && !call->FailedWhenConnected;
-      const HttpAnswer answer{.Ending = unsent ? HttpEnding::NotSent
-                                               : HttpEnding::BrokeOff};
+      const HttpResponse answer{.Ending = unsent ? HttpEnding::NotSent
+                                                 : HttpEnding::BrokeOff};
       return self.finish(call->Id, answer, false);
     }
-    HttpAnswer answer{.Ending = HttpEnding::Complete, .Status = status};
+    HttpResponse answer{.Ending = HttpEnding::Complete, .Status = status};
     answer.Body = std::move(call->ErrorBody) + takeBody(req);
     self.finish(call->Id, answer, !closesConnection(req));
   }
--- a/packages/net/pimentofront/src/Net/HttpClient.h
+++ b/packages/net/pimentofront/src/Net/HttpClient.h
@@ -18,9 +18,9 @@
   BrokeOff,
 };
 
-/// \class HttpAnswer
+/// \class HttpResponse
 /// \ingroup Net
-struct HttpAnswer {
+struct HttpResponse {
   HttpEnding Ending = HttpEnding::BrokeOff;
   int Status = 0;
   /// Without the parts that were passed to HttpCall::OnPiece.
@@ -41,7 +41,7 @@
   bool FreshConnection = false;
   /// If set, receives the body of a response with status 200 piece by piece.
   std::function<void(std::string_view)> OnPiece;
-  std::function<void(const HttpAnswer &)> OnEnd;
+  std::function<void(const HttpResponse &)> OnEnd;
 };
 
 /// Identifies a call in progress; 0 is none.
--- a/packages/net/pimentofront/src/Net/HttpServer.cpp
+++ b/packages/net/pimentofront/src/Net/HttpServer.cpp
@@ -32,7 +32,7 @@
     return value ? value : "";
   }
 
-  bool gone() const override { return !Request; }
+  bool isDisconnected() const override { return !Request; }
 
   std::size_t unsentBytes() const override {
     if (!Request)
@@ -82,14 +82,14 @@
     evhtp_connection_free(con);
   }
 
-  void onGone(std::function<void()> action) override {
-    GoneAction = std::move(action);
+  void onDisconnect(std::function<void()> action) override {
+    DisconnectAction = std::move(action);
   }
 
   void requestEnded() {
     Request = nullptr;
-    auto action = std::move(GoneAction);
-    GoneAction = nullptr;
+    auto action = std::move(DisconnectAction);
+    DisconnectAction = nullptr;
     if (!Answered && action)
       action();
   }
@@ -106,7 +106,7 @@
   std::string Method;
   std::string Path;
   std::string Body;
-  std::function<void()> GoneAction;
+  std::function<void()> DisconnectAction;
   bool Answered = false;
 };
 
--- a/packages/net/pimentofront/src/Net/HttpServer.h
+++ b/packages/net/pimentofront/src/Net/HttpServer.h
@@ -22,7 +22,7 @@
   virtual std::string_view body() const = 0;
   /// \returns the value of a header; empty if it is missing.
   virtual std::string_view header(const char *name) const = 0;
-  virtual bool gone() const = 0;
+  virtual bool isDisconnected() const = 0;
   /// \returns the number of response bytes that aren't sent yet.
   virtual std::size_t unsentBytes() const = 0;
 
@@ -39,7 +39,7 @@
   virtual void abort() = 0;
   /// \p action is called once if the caller disconnects before the response is
   /// complete.
-  virtual void onGone(std::function<void()> action) = 0;
+  virtual void onDisconnect(std::function<void()> action) = 0;
 };
 
 /// \class HttpHandler
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -233,7 +233,9 @@
   flush(now);
 }
 
-void AgentNode::sayGoodbye(TimePoint now) { announce(now, /*gone=*/true); }
+void AgentNode::sendLeaveMessage(TimePoint now) {
+  announce(now, /*gone=*/true);
+}
 
 Duration AgentNode::remainingLease(TimePoint now) const {
   return std::max(LeasedUntil - now, Duration::zero());
--- a/packages/node/pimentofront/src/Node/AgentNode.h
+++ b/packages/node/pimentofront/src/Node/AgentNode.h
@@ -63,7 +63,7 @@
   /// Announces to the entries and the leader that this agent takes no new work.
   void leave(TimePoint now);
   /// Deregisters this process from the leader, because it exits.
-  void sayGoodbye(TimePoint now);
+  void sendLeaveMessage(TimePoint now);
   /// Sets the callback for a new engine profile from the routing document.
   using ProfileCallback = std::function<void(const EngineProfile &)>;
   void onProfile(ProfileCallback action) { ProfileAction = std::move(action); }
@@ -74,7 +74,7 @@
   const ServerProcess &engineProcess() const { return Process; }
   /// Records when the engine's process started, as the engine reports it; 0 if
   /// it doesn't.
-  void onEngineSeen(std::uint64_t startedAt) { EngineStartedAt = startedAt; }
+  void setEngineStart(std::uint64_t startedAt) { EngineStartedAt = startedAt; }
   /// The process that entries named has exited; another one may have started.
   void onEngineRestarted(TimePoint now);
   /// \returns the remaining time of the lease on membership.
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -158,7 +158,7 @@
   flush(now);
 }
 
-void EntryNode::callerGone(TimePoint now, RequestKey key) {
+void EntryNode::callerDisconnected(TimePoint now, RequestKey key) {
   Controller.onCallerDisconnected(now, key);
   flush(now);
 }
--- a/packages/node/pimentofront/src/Node/EntryNode.h
+++ b/packages/node/pimentofront/src/Node/EntryNode.h
@@ -54,7 +54,7 @@
   void tick(TimePoint now) override;
 
   void request(TimePoint now, CallerRequest request);
-  void callerGone(TimePoint now, RequestKey key);
+  void callerDisconnected(TimePoint now, RequestKey key);
   /// Proposes an operator's command to the replicas.
   void command(TimePoint now, const Command &command, CommandCallback done);
   /// Sends a request to one replica, or to the leader if \p replica is empty.
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -264,7 +264,7 @@
   flush(now);
 }
 
-void ForwardNode::callerGone(TimePoint now, std::uint64_t key) {
+void ForwardNode::callerDisconnected(TimePoint now, std::uint64_t key) {
   detectPause(now);
   Controller.onCallerDisconnected(now, key);
   flush(now);
--- a/packages/node/pimentofront/src/Node/ForwardNode.h
+++ b/packages/node/pimentofront/src/Node/ForwardNode.h
@@ -51,7 +51,7 @@
 
   void request(TimePoint now, std::uint64_t key, RequestHead head,
                std::string body, const ContentHash &bodyHash);
-  void callerGone(TimePoint now, std::uint64_t key);
+  void callerDisconnected(TimePoint now, std::uint64_t key);
   HeadDecision upstreamHead(TimePoint now, const AttemptId &attempt,
                             ResponseHead head);
   void upstreamBody(TimePoint now, const AttemptId &attempt,
--- a/packages/node/pimentofront/src/Node/ReplicaNode.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.cpp
@@ -35,7 +35,7 @@
                          Transport &transport, const WallClock &wall)
     : Options(options), Store(store), Network(transport), Wall(wall),
       Log(now, options.Log, stored), State(options.Claims),
-      Review(options.Quarantine), Evacuations(options.OrdersResentFor),
+      Review(options.Quarantine), Evacuations(options.OrderResendWindow),
       Members(options.Members), Loads(options.Loads),
       Allotments(options.Allotments, options.Documents), Listeners(transport),
       Watch(SilentElectionTimeouts * options.Log.ElectionTimeout) {
@@ -243,7 +243,7 @@
   const auto voters = std::ranges::count(Log.group().Replicas, false,
                                          &ReplicaDescriptor::Learner);
   return !Failure && (State.configuration().revision() > 0 ||
-                      voters >= Options.VotersAtFirst);
+                      voters >= Options.InitialVoters);
 }
 
 bool ReplicaNode::propose(TimePoint now, const Command &command,
@@ -474,7 +474,7 @@
   const JoinRequest request{{.Id = Log.id(),
                              .Host = Options.Log.Host,
                              .Address = Options.Log.Address}};
-  for (const std::string &it : Options.Others)
+  for (const std::string &it : Options.PeerAddresses)
     sendToReplica(now, {.Address = it}, request);
   for (const auto &[replica, link] : ReplicaLinks)
     Network.send(link, request);
@@ -600,7 +600,7 @@
 }
 
 void ReplicaNode::compactIfDue() {
-  const bool due = Log.entryCount() >= Options.CompactAfter ||
+  const bool due = Log.entryCount() >= Options.CompactAfterEntries ||
                    BytesSinceSnapshot >= Options.CompactAfterBytes;
   if (!due || Failure)
     return;
--- a/packages/node/pimentofront/src/Node/ReplicaNode.h
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.h
@@ -15,26 +15,26 @@
   ReplicatedLogOptions Log;
   /// Addresses of the other hosts that may run a replica; join requests are
   /// sent to them.
-  std::vector<std::string> Others;
+  std::vector<std::string> PeerAddresses;
   MemberTableOptions Members;
   LoadSchedulerOptions Loads;
   ClaimLedgerOptions Claims;
   QuarantineReviewOptions Quarantine;
   /// Longest time for which a sender repeats an operator's order that has no
   /// command id.
-  Duration OrdersResentFor = std::chrono::seconds(6);
+  Duration OrderResendWindow = std::chrono::seconds(6);
   AllotmentRules Allotments;
   /// Decodes the routing document in force to obtain the client accounts; may
   /// be null.
   const DocumentCodec *Documents = nullptr;
   /// Number of log entries at which the log is compacted into a snapshot.
-  std::size_t CompactAfter = 8192;
+  std::size_t CompactAfterEntries = 8192;
   /// Bytes of log entries at which the log is compacted into a snapshot:
   /// operators' documents are large.
   std::size_t CompactAfterBytes = std::size_t(4) << 20;
   /// Number of voting replicas required before the first command is accepted,
   /// so that every accepted command survives the loss of a disk.
-  std::uint32_t VotersAtFirst = 1;
+  std::uint32_t InitialVoters = 1;
 };
 
 /// \class ReplicaNode
--- a/packages/testkit/pimentofront/Testkit.h
+++ b/packages/testkit/pimentofront/Testkit.h
@@ -18,8 +18,8 @@
 // clang-format off
 #include "src/Testkit/Ledger.h"
 #include "src/Testkit/FakeBackend.h"
-#include "src/Testkit/World.h"
-#include "src/Testkit/PlainHeaders.h"
+#include "src/Testkit/Simulation.h"
+#include "src/Testkit/TestHeaderCodec.h"
 #include "src/Testkit/ForwardFleet.h"
 #include "src/Testkit/Scenario.h"
 #include "src/Testkit/Trace.h"
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -67,7 +67,7 @@
       : Fleet(fleet), Entry(std::move(entry)) {}
 
   void onCommand(ForwardCommand command) override {
-    WorldProcess &entry = Fleet.Sim.process(Entry);
+    SimulatedProcess &entry = Fleet.Sim.process(Entry);
     if (const auto *send = std::get_if<SendUpstream>(&command))
       return Fleet.onSend(entry, *send);
     if (const auto *check = std::get_if<CheckServer>(&command))
@@ -139,8 +139,8 @@
     ProcessSpec spec{.Host = replicaName(i), .IsReplica = true};
     spec.Replica.Log.Host = spec.Host;
     spec.Replica.Log.Address = spec.Host.str();
-    spec.Replica.Others = Addresses;
-    WorldProcess &process = Sim.add(spec);
+    spec.Replica.PeerAddresses = Addresses;
+    SimulatedProcess &process = Sim.add(spec);
     process.Disk = std::make_unique<MemoryLogStore>(1 + i);
     process.Disk->Stored.Snapshot =
         LogSnapshot::make(1, 1, group, StateMachine().encode());
@@ -197,7 +197,7 @@
   Sim.start(Sim.add(spec));
 }
 
-WorldProcess &ForwardFleet::agent(std::uint32_t i) {
+SimulatedProcess &ForwardFleet::agent(std::uint32_t i) {
   return Sim.process(agentName(i));
 }
 
@@ -212,18 +212,19 @@
   }
 }
 
-void ForwardFleet::chillServer(std::uint32_t i) {
+void ForwardFleet::makeServerCold(std::uint32_t i) {
   Servers[i].ColdUntil = Sim.now() + Options.ColdTime;
 }
 
-void ForwardFleet::setAsks(std::uint32_t i, const ScriptedFeedback &feedback) {
-  Servers[i].Asks = feedback;
+void ForwardFleet::setFeedback(std::uint32_t i,
+                               const ScriptedFeedback &feedback) {
+  Servers[i].Feedback = feedback;
 }
 
-WorldProcess &ForwardFleet::entry(std::uint32_t i) {
+SimulatedProcess &ForwardFleet::entry(std::uint32_t i) {
   return Sim.process(entryName(i));
 }
-WorldProcess &ForwardFleet::replica(std::uint32_t i) {
+SimulatedProcess &ForwardFleet::replica(std::uint32_t i) {
   return Sim.process(replicaName(i));
 }
 
@@ -231,7 +232,7 @@
 /// the proposal has an outcome.
 void ForwardFleet::registerServers() {
   Sim.after(Options.Heartbeat, [this] { registerServers(); });
-  WorldProcess *leader = Sim.leader();
+  SimulatedProcess *leader = Sim.leader();
   ++RegistrationRound;
   if (!leader || leader->Frozen)
     return;
@@ -260,7 +261,7 @@
 // Callers
 //===----------------------------------------------------------------------===//
 
-void ForwardFleet::call(WorldProcess &entry, const std::string &content,
+void ForwardFleet::call(SimulatedProcess &entry, const std::string &content,
                         std::function<void(const CallerAnswer &)> done,
                         const std::string &adapter) {
   const std::uint64_t key = ++LastKey;
@@ -274,7 +275,7 @@
        {"id", "r" + std::to_string(key)},
        {"time", "6000"},
        {"adapter", Options.Engines ? adapter : std::string()}}};
-  Sim.atProcess(entry.Spec.Host, entry.Incarnation, [=](WorldProcess &it) {
+  Sim.atProcess(entry.Spec.Host, entry.Incarnation, [=](SimulatedProcess &it) {
     it.Forward->request(it.Owner.now(), key, head, content,
                         ContentHasher().add(content).finish());
   });
@@ -287,7 +288,7 @@
   Call call = std::move(it->second);
   Calls.erase(it);
   call.Answer.EndedAt = Sim.now();
-  call.Answer.Whole = complete;
+  call.Answer.IsComplete = complete;
   if (call.Done)
     Sim.after(Duration::zero(),
               [call = std::move(call)] { call.Done(call.Answer); });
@@ -306,11 +307,11 @@
                              std::function<void(ForwardNode &)> action) {
   Sim.after(Options.Latency, [this, run, action] {
     Sim.atProcess(run.Entry.Host, run.Entry.Incarnation,
-                  [action](WorldProcess &it) { action(*it.Forward); });
+                  [action](SimulatedProcess &it) { action(*it.Forward); });
   });
 }
 
-void ForwardFleet::onSend(WorldProcess &entry, const SendUpstream &send) {
+void ForwardFleet::onSend(SimulatedProcess &entry, const SendUpstream &send) {
   const Server *server = findServer(send.Address);
   const auto i = static_cast<std::size_t>(server - Servers.data());
   Run run{.Attempt = send.Attempt,
@@ -342,7 +343,7 @@
                       .Entry = run.Entry,
                       .Zone = zoneOf(static_cast<std::uint32_t>(i)),
                       .Cold = Sim.now() < server.ColdUntil});
-  if (server.Asks.Backoff)
+  if (server.Feedback.Backoff)
     return reject(server, run);
   const std::uint64_t id = ++LastRun;
   server.Runs.emplace(id, run);
@@ -352,14 +353,14 @@
 }
 
 void ForwardFleet::reject(const Server &server, const Run &run) {
-  const double seconds = toSeconds(*server.Asks.Backoff);
+  const double seconds = toSeconds(*server.Feedback.Backoff);
   sendHead(server, run, StatusUnavailable,
            {{"not-run", "1"}, {"rest", std::to_string(seconds)}});
 }
 
 void ForwardFleet::sendHead(const Server &server, const Run &run, int status,
                             HttpHeaders headers) {
-  ScriptedFeedback feedback = server.Asks;
+  ScriptedFeedback feedback = server.Feedback;
   // Only a rejection carries the backoff.
   if (status != StatusUnavailable)
     feedback.Backoff.reset();
@@ -406,7 +407,7 @@
   });
 }
 
-void ForwardFleet::onCheck(WorldProcess &entry, const CheckServer &check) {
+void ForwardFleet::onCheck(SimulatedProcess &entry, const CheckServer &check) {
   constexpr Duration Timeout = std::chrono::milliseconds(200);
   const Server *server = findServer(check.Address);
   ServerCheckResult life =
@@ -418,7 +419,7 @@
   Sim.after(wait,
             [this, host = entry.Spec.Host, incarnation = entry.Incarnation,
              process = check.Server, life] {
-              Sim.atProcess(host, incarnation, [=](WorldProcess &it) {
+              Sim.atProcess(host, incarnation, [=](SimulatedProcess &it) {
                 it.Forward->serverChecked(it.Owner.now(), process, life);
               });
             });
@@ -427,7 +428,7 @@
 void ForwardFleet::crash(Server &server, const std::string &content) {
   ServerCrash crash{.At = Sim.now(), .Server = server.Name, .Content = content};
   server.Up = false;
-  server.Asks = {};
+  server.Feedback = {};
   for (const auto &it : std::exchange(server.Runs, {})) {
     const Run &run = it.second;
     crash.RequestsInFlight.push_back(run.Content);
@@ -448,7 +449,7 @@
     it.Up = true;
     it.PoweredOff = false;
     if (Options.ColdPerSecond > 0)
-      chillServer(i);
+      makeServerCold(i);
   });
 }
 
@@ -457,7 +458,7 @@
     crash(Servers[i], "");
 }
 
-void ForwardFleet::darkenServer(std::uint32_t i) {
+void ForwardFleet::powerOffServer(std::uint32_t i) {
   if (!Servers[i].Up)
     return;
   Servers[i].PoweredOff = true;
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
@@ -1,15 +1,15 @@
 #ifndef PIMENTOFRONT_TESTKIT_FORWARD_FLEET_H
 #define PIMENTOFRONT_TESTKIT_FORWARD_FLEET_H
 
-#include "PlainHeaders.h"
-#include "World.h"
+#include "Simulation.h"
+#include "TestHeaderCodec.h"
 
 namespace pimentofront::testkit {
 
 /// \class ForwardFleetOptions
 /// \ingroup Testkit
 struct ForwardFleetOptions {
-  WorldOptions World;
+  SimulationOptions World;
   std::uint32_t Replicas = 3;
   std::uint32_t Entries = 4;
   std::uint32_t Servers = 12;
@@ -50,7 +50,7 @@
   Duration RetryAfter = Duration::zero();
   std::string Body;
   /// The answer is complete.
-  bool Whole = false;
+  bool IsComplete = false;
   /// The answer has the stamp of a server; the entry's own answers have none.
   bool Stamped = false;
 };
@@ -72,11 +72,11 @@
 };
 
 /// Feedback of a server that has reached an entry.
-struct FeedbackTold {
+struct FeedbackDelivery {
   TimePoint At;
   HostName Server;
   EntryProcess Entry;
-  ScriptedFeedback Asks;
+  ScriptedFeedback Feedback;
 };
 
 /// The arrival of a request at a server.
@@ -108,9 +108,9 @@
 /// and that they are leaving.
 ///
 /// A request is identified by its content. It is a crashing request if its
-/// content was passed to addDeadly(). Attempts with the same content differ
-/// only in their ids. Use this class to test the behaviour of a whole fleet; to
-/// test the decisions of one entry, use ForwardController alone.
+/// content was passed to addCrashingRequest(). Attempts with the same content
+/// differ only in their ids. Use this class to test the behaviour of a whole
+/// fleet; to test the decisions of one entry, use ForwardController alone.
 class ForwardFleet {
 public:
   explicit ForwardFleet(const ForwardFleetOptions &options);
@@ -118,36 +118,36 @@
 
   TimePoint now() const { return Sim.now(); }
   void runFor(Duration d) { Sim.runUntil(Sim.now() + d); }
-  WorldProcess &entry(std::uint32_t i);
-  WorldProcess &replica(std::uint32_t i);
-  World &world() { return Sim; }
+  SimulatedProcess &entry(std::uint32_t i);
+  SimulatedProcess &replica(std::uint32_t i);
+  World &simulation() { return Sim; }
   /// Cuts the links between \p host and all replicas until World::healAll().
   void cutOffReplicas(const HostName &host);
 
-  void addDeadly(const std::string &content) {
+  void addCrashingRequest(const std::string &content) {
     CrashingContents.insert(content);
   }
   /// Sends an attempt with \p content to an entry. \p done gets the answer.
-  void call(WorldProcess &entry, const std::string &content,
+  void call(SimulatedProcess &entry, const std::string &content,
             std::function<void(const CallerAnswer &)> done = {},
             const std::string &adapter = "a");
   /// Sets the feedback that server \p i sends with each answer from now on.
-  void setAsks(std::uint32_t i, const ScriptedFeedback &feedback);
+  void setFeedback(std::uint32_t i, const ScriptedFeedback &feedback);
   HostName serverName(std::uint32_t i) const { return Servers[i].Name; }
   ZoneName zoneOf(std::uint32_t server) const;
   /// Makes server \p i cold, as if it had just started.
-  void chillServer(std::uint32_t i);
+  void makeServerCold(std::uint32_t i);
   /// \pre the servers are engines.
-  WorldProcess &agent(std::uint32_t i);
+  SimulatedProcess &agent(std::uint32_t i);
   /// Crashes server \p i without a crashing request. Its next process starts
   /// after `RestartDelay`.
   void crashServer(std::uint32_t i);
   /// Simulates a power loss of server \p i: connections aren't closed, requests
   /// and checks aren't answered.
-  void darkenServer(std::uint32_t i);
+  void powerOffServer(std::uint32_t i);
 
   const std::vector<ServerArrival> &arrivals() const { return Arrivals; }
-  const std::vector<FeedbackTold> &told() const { return Deliveries; }
+  const std::vector<FeedbackDelivery> &deliveries() const { return Deliveries; }
   const std::vector<ServerCrash> &crashes() const { return Crashes; }
   const std::vector<ForwardEvent> &events() const { return RecordedEvents; }
 
@@ -167,7 +167,7 @@
     bool PoweredOff = false;
     std::uint64_t Starts = 0;
     TimePoint ColdUntil;
-    ScriptedFeedback Asks;
+    ScriptedFeedback Feedback;
     std::map<std::uint64_t, Run> Runs;
   };
   struct Call {
@@ -181,8 +181,8 @@
   void addAgent(std::uint32_t i);
   void registerServers();
   Server *findServer(const std::string &address);
-  void onSend(WorldProcess &entry, const SendUpstream &send);
-  void onCheck(WorldProcess &entry, const CheckServer &check);
+  void onSend(SimulatedProcess &entry, const SendUpstream &send);
+  void onCheck(SimulatedProcess &entry, const CheckServer &check);
   void onArrival(std::size_t server, const HostName &expectedName, Run run);
   /// Rejects a request that isn't run, with the server's backoff.
   void reject(const Server &server, const Run &run);
@@ -197,7 +197,7 @@
 
   ForwardFleetOptions Options;
   World Sim;
-  PlainHeaders Headers;
+  TestHeaderCodec Headers;
   std::unique_ptr<FixedDocument> Document;
   std::vector<std::string> Addresses;
   std::vector<Server> Servers;
@@ -209,7 +209,7 @@
   std::uint64_t RegistrationRound = 0;
   bool DocumentDecided = false;
   std::vector<ServerArrival> Arrivals;
-  std::vector<FeedbackTold> Deliveries;
+  std::vector<FeedbackDelivery> Deliveries;
   std::vector<ServerCrash> Crashes;
   std::vector<ForwardEvent> RecordedEvents;
 };
--- a/packages/testkit/pimentofront/src/Testkit/Replay.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.cpp
@@ -116,12 +116,12 @@
       spec.Entry = {.Host = host, .Replicas = Addresses};
       spec.Replica.Log.Host = host;
       spec.Replica.Log.Address = host.str();
-      spec.Replica.Others = Addresses;
+      spec.Replica.PeerAddresses = Addresses;
       spec.Replica.Loads = {.LoadsPerSecond = Cluster.LoadsPerSecond,
                             .LoadTime =
                                 fromSeconds(1 / Cluster.LoadsPerSecond)};
       spec.MakeRouting = [this] { return makeRouting(Policy); };
-      WorldProcess &process = Sim.add(spec);
+      SimulatedProcess &process = Sim.add(spec);
       process.Disk = std::make_unique<MemoryLogStore>(1 + i);
       process.Disk->Stored.Snapshot = LogSnapshot::make(1, 1, group, state);
       Sim.start(process);
@@ -156,7 +156,7 @@
   }
 
   void send(const TraceRequest &request) {
-    WorldProcess *entry = &Sim.process(replicaName(request.Entry));
+    SimulatedProcess *entry = &Sim.process(replicaName(request.Entry));
     // The platform's load balancer skips entries that aren't ready.
     for (std::uint32_t i = 1; i < Cluster.Entries; ++i)
       if (!entry->Alive || !entry->Entry->ready(Sim.now()))
@@ -173,13 +173,13 @@
   void injectFault() {
     if (Fault == ReplayFault::ColdThird) {
       std::uint32_t i = 0;
-      for (WorldProcess *it : Sim.processes())
+      for (SimulatedProcess *it : Sim.processes())
         if (it->Engine && i++ % 3 == 0)
           it->Engine->restart();
     }
     if (Fault != ReplayFault::LeaderLost)
       return;
-    if (WorldProcess *it = Sim.leader())
+    if (SimulatedProcess *it = Sim.leader())
       Sim.kill(*it);
   }
 
@@ -248,7 +248,7 @@
     result.StallP99 = percentile(all, 0.99);
     result.RefusalP99 = percentile(refusals, 0.99);
     EngineCounters engines;
-    for (WorldProcess *it : Sim.processes())
+    for (SimulatedProcess *it : Sim.processes())
       if (it->Engine) {
         engines.Steps += it->Engine->counters().Steps;
         engines.Loads += it->Engine->counters().Loads;
--- a/packages/testkit/pimentofront/src/Testkit/Replay.h
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.h
@@ -1,8 +1,8 @@
 #ifndef PIMENTOFRONT_TESTKIT_REPLAY_H
 #define PIMENTOFRONT_TESTKIT_REPLAY_H
 
+#include "Simulation.h"
 #include "Trace.h"
-#include "World.h"
 
 namespace pimentofront::testkit {
 
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
@@ -85,15 +85,15 @@
     Result.Errors.add(line.Location, line.Action + ": " + what);
   }
 
-  WorldProcess *find(const Line &line, const std::string &name) {
-    for (WorldProcess *it : Sim.processes())
+  SimulatedProcess *find(const Line &line, const std::string &name) {
+    for (SimulatedProcess *it : Sim.processes())
       if (it->Spec.Host.str() == name)
         return it;
     addError(line, "no process '" + name + "'");
     return nullptr;
   }
 
-  WorldProcess *leader() { return Sim.leader(); }
+  SimulatedProcess *leader() { return Sim.leader(); }
 
   //===--------------------------------------------------------------------===//
   // Processes and faults
@@ -108,8 +108,8 @@
     spec.Entry = {.Host = host, .Replicas = Replicas};
     spec.Replica.Log.Host = host;
     spec.Replica.Log.Address = host.str();
-    spec.Replica.Others = Replicas;
-    spec.Replica.CompactAfter = 64;
+    spec.Replica.PeerAddresses = Replicas;
+    spec.Replica.CompactAfterEntries = 64;
     spec.Agent = {.Agent = {.Host = host,
                             .BaseModel = "base",
                             .Slots = line.number("slots", 2),
@@ -130,55 +130,55 @@
   }
 
   void start(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)))
+    if (SimulatedProcess *it = find(line, line.word(0)))
       Sim.start(*it);
   }
   void kill(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)))
+    if (SimulatedProcess *it = find(line, line.word(0)))
       Sim.kill(*it);
   }
   void freeze(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)))
+    if (SimulatedProcess *it = find(line, line.word(0)))
       Sim.freeze(*it);
   }
   void wake(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)))
+    if (SimulatedProcess *it = find(line, line.word(0)))
       Sim.wake(*it);
   }
   void loseDisk(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)))
+    if (SimulatedProcess *it = find(line, line.word(0)))
       Sim.loseDisk(*it);
   }
   void fullDisk(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)); it && it->Disk)
+    if (SimulatedProcess *it = find(line, line.word(0)); it && it->Disk)
       it->Disk->Full = true;
   }
   void leave(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)); it && it->Agent)
+    if (SimulatedProcess *it = find(line, line.word(0)); it && it->Agent)
       it->Agent->leave(Sim.now());
   }
   void killLeader(const Line &) {
-    if (WorldProcess *it = leader())
+    if (SimulatedProcess *it = leader())
       Sim.kill(*it);
   }
   void freezeLeader(const Line &) {
-    if (WorldProcess *it = leader())
+    if (SimulatedProcess *it = leader())
       Sim.freeze(*it);
   }
   void isolateLeader(const Line &) {
-    if (const WorldProcess *it = leader())
+    if (const SimulatedProcess *it = leader())
       isolateHost(it->Spec.Host);
   }
   void engineRestart(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)); it && it->Engine)
+    if (SimulatedProcess *it = find(line, line.word(0)); it && it->Engine)
       it->Engine->restart();
   }
   void engineDown(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)); it && it->Engine)
+    if (SimulatedProcess *it = find(line, line.word(0)); it && it->Engine)
       it->Engine->setDown(true);
   }
   void engineUp(const Line &line) {
-    if (WorldProcess *it = find(line, line.word(0)); it && it->Engine)
+    if (SimulatedProcess *it = find(line, line.word(0)); it && it->Engine)
       it->Engine->setDown(false);
   }
   void cut(const Line &line) {
@@ -189,7 +189,7 @@
       Sim.cut(b, a);
   }
   void isolateHost(const HostName &host) {
-    for (const WorldProcess *it : Sim.processes()) {
+    for (const SimulatedProcess *it : Sim.processes()) {
       if (it->Spec.Host == host)
         continue;
       Sim.cut(host, it->Spec.Host);
@@ -203,7 +203,7 @@
              std::chrono::milliseconds(std::stoi(line.word(2))));
   }
   void bootstrap(const Line &line) {
-    WorldProcess *it = find(line, line.word(0));
+    SimulatedProcess *it = find(line, line.word(0));
     if (it && it->Replica)
       it->Replica->bootstrap(Sim.now());
   }
@@ -215,7 +215,7 @@
   void propose(const Line &line, const std::string &id, CommandBody body,
                std::function<void(Revision)> accepted = {},
                std::function<void()> declined = {}) {
-    WorldProcess *entry = find(line, line.named("via", ""));
+    SimulatedProcess *entry = find(line, line.named("via", ""));
     if (!entry)
       return;
     const std::string name =
@@ -286,7 +286,7 @@
   }
 
   void request(const Line &line) {
-    WorldProcess *entry = find(line, line.named("via", ""));
+    SimulatedProcess *entry = find(line, line.named("via", ""));
     if (!entry)
       return;
     const std::uint32_t seconds = line.number("timeout", 30);
@@ -300,7 +300,7 @@
                          .Timeout = std::chrono::seconds(seconds)});
   }
   void order(const Line &line) {
-    WorldProcess *entry = find(line, line.named("via", ""));
+    SimulatedProcess *entry = find(line, line.named("via", ""));
     if (!entry)
       return;
     const std::uint32_t seconds = line.number("timeout", 10);
@@ -345,11 +345,11 @@
 
   bool inForce() const {
     Revision newest = 0;
-    for (WorldProcess *it : const_cast<World &>(Sim).processes())
+    for (SimulatedProcess *it : const_cast<World &>(Sim).processes())
       if (it->Alive && it->Replica)
         newest =
             std::max(newest, it->Replica->state().configuration().revision());
-    for (WorldProcess *it : const_cast<World &>(Sim).processes())
+    for (SimulatedProcess *it : const_cast<World &>(Sim).processes())
       if (it->Alive && it->Entry &&
           it->Entry->configuration().revision() != newest)
         return false;
@@ -362,7 +362,7 @@
       if (!leader())
         addError(line, "there is no leader");
     } else if (what == "ready" || what == "not-ready") {
-      const WorldProcess *it = find(line, line.word(1));
+      const SimulatedProcess *it = find(line, line.word(1));
       const bool ready = it && it->Entry && it->Entry->ready(Sim.now());
       if (ready != (what == "ready"))
         addError(line, line.word(1) + (ready ? " is ready" : " isn't ready"));
@@ -370,7 +370,7 @@
       if (!inForce())
         addError(line, "an entry lacks the newest revision");
     } else if (what == "voters") {
-      const WorldProcess *it = leader();
+      const SimulatedProcess *it = leader();
       const auto n =
           !it ? 0
               : std::ranges::count(it->Replica->log().group().Replicas, false,
@@ -410,7 +410,7 @@
 
   /// Checks the invariants of the final state.
   void checkEnd() {
-    if (const WorldProcess *it = leader())
+    if (const SimulatedProcess *it = leader())
       Sim.RequestLedger.checkState(Sim.now(),
                                    it->Replica->state().configuration());
   }
@@ -427,7 +427,7 @@
 
   /// Logs the final state of each process.
   void logProcesses() {
-    for (WorldProcess *it : Sim.processes()) {
+    for (SimulatedProcess *it : Sim.processes()) {
       std::string text = it->Spec.Host.str() + ":";
       if (!it->Alive)
         text += " dead";
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.h
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.h
@@ -1,7 +1,7 @@
 #ifndef PIMENTOFRONT_TESTKIT_SCENARIO_H
 #define PIMENTOFRONT_TESTKIT_SCENARIO_H
 
-#include "World.h"
+#include "Simulation.h"
 
 namespace pimentofront::testkit {
 
--- a/packages/testkit/pimentofront/src/Testkit/WorldProcess.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/SimulatedProcess.cpp
@@ -4,27 +4,27 @@
 
 namespace pimentofront::testkit {
 
-WorldProcess::WorldProcess(World &world, ProcessSpec spec)
-    : Owner(world), Spec(std::move(spec)) {}
-WorldProcess::~WorldProcess() = default;
+SimulatedProcess::SimulatedProcess(World &simulation, ProcessSpec spec)
+    : Owner(simulation), Spec(std::move(spec)) {}
+SimulatedProcess::~SimulatedProcess() = default;
 
-LinkId WorldProcess::open(const std::string &address, LinkPurpose purpose) {
+LinkId SimulatedProcess::open(const std::string &address, LinkPurpose purpose) {
   return Owner.openLink(*this, address, purpose);
 }
-void WorldProcess::send(LinkId link, const Message &message) {
+void SimulatedProcess::send(LinkId link, const Message &message) {
   if (const auto *execute = std::get_if<ExecuteRequest>(&message))
     Owner.RequestLedger.recordRouted(Owner.now(), *execute);
   Owner.sendOn(link, message);
 }
-void WorldProcess::close(LinkId link) { Owner.closeLink(link); }
+void SimulatedProcess::close(LinkId link) { Owner.closeLink(link); }
 
-void WorldProcess::generate(const ExecuteRequest &request) {
+void SimulatedProcess::generate(const ExecuteRequest &request) {
   if (Engine->generate(request, KnownEngineStart))
     return;
   // The engine's refusal arrives after 100 us.
   Owner.after(Duration(100), [this, attempt = request.Attempt,
                               incarnation = Incarnation] {
-    Owner.atProcess(Spec.Host, incarnation, [=](WorldProcess &process) {
+    Owner.atProcess(Spec.Host, incarnation, [=](SimulatedProcess &process) {
       process.Agent->controller().onWorkNotStarted(process.Owner.now(),
                                                    attempt);
       process.Agent->flush(process.Owner.now());
@@ -32,16 +32,16 @@
   });
 }
 
-void WorldProcess::cancel(const AttemptId &attempt) {
+void SimulatedProcess::cancel(const AttemptId &attempt) {
   Engine->cancel(attempt);
   Agent->controller().onWorkEnded(Owner.now(), attempt,
                                   AttemptEnding::Cancelled, "");
 }
 
-void WorldProcess::callService(const ExecuteRequest &request) {
+void SimulatedProcess::callService(const ExecuteRequest &request) {
   Owner.Service.call(request, [this, attempt = request.Attempt,
                                incarnation = Incarnation](std::string answer) {
-    Owner.atProcess(Spec.Host, incarnation, [=](WorldProcess &process) {
+    Owner.atProcess(Spec.Host, incarnation, [=](SimulatedProcess &process) {
       process.Agent->controller().onWorkEnded(process.Owner.now(), attempt,
                                               AttemptEnding::Answered, answer);
       process.Agent->flush(process.Owner.now());
@@ -49,13 +49,13 @@
   });
 }
 
-void WorldProcess::load(const StartLoad &load) {
+void SimulatedProcess::load(const StartLoad &load) {
   const TimePoint startedAt = Owner.now();
   Engine->load(load, [this, key = load.Key, startedAt,
                       incarnation = Incarnation](bool succeeded) {
     // The completion must not run inside the call that started the load.
     Owner.after(Duration::zero(), [=, this] {
-      Owner.atProcess(Spec.Host, incarnation, [=](WorldProcess &process) {
+      Owner.atProcess(Spec.Host, incarnation, [=](SimulatedProcess &process) {
         const TimePoint now = process.Owner.now();
         process.Agent->controller().onLoadEnded(now, key, succeeded,
                                                 now - startedAt);
@@ -65,15 +65,15 @@
   });
 }
 
-void WorldProcess::onChunk(RequestKey key, std::uint64_t,
-                           const std::string &text) {
+void SimulatedProcess::onChunk(RequestKey key, std::uint64_t,
+                               const std::string &text) {
   if (RequestRecord *record = Owner.RequestLedger.find(key);
       record && Owner.RequestLedger.keepsTexts())
     record->Text += text;
 }
 
-void WorldProcess::onFinal(RequestKey key, const KindName &,
-                           const FinalAnswer &answer) {
+void SimulatedProcess::onFinal(RequestKey key, const KindName &,
+                               const FinalAnswer &answer) {
   Waiting.erase(key);
   Owner.RequestLedger.recordOutcome(Owner.now(), key, answer);
 }
--- a/packages/testkit/pimentofront/src/Testkit/World.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Simulation.cpp
@@ -8,7 +8,7 @@
 // Virtual time
 //===----------------------------------------------------------------------===//
 
-World::World(const WorldOptions &options)
+World::World(const SimulationOptions &options)
     : Store(*this, options.Store),
       Service(*this, RequestLedger, options.ServiceDelay), Rng(options.Seed),
       Options(options) {}
@@ -40,34 +40,34 @@
 // Processes
 //===----------------------------------------------------------------------===//
 
-WorldProcess &World::add(const ProcessSpec &spec) {
+SimulatedProcess &World::add(const ProcessSpec &spec) {
   auto &slot = Processes[spec.Host];
-  slot = std::make_unique<WorldProcess>(*this, spec);
+  slot = std::make_unique<SimulatedProcess>(*this, spec);
   if (spec.IsAgent && !spec.Agent.Agent.BaseModel.empty())
     slot->Engine =
         std::make_unique<FakeEngine>(*this, spec.Engine, Store, RequestLedger);
   return *slot;
 }
 
-WorldProcess &World::process(const HostName &host) {
+SimulatedProcess &World::process(const HostName &host) {
   return *Processes.at(host);
 }
 
-std::vector<WorldProcess *> World::processes() {
-  std::vector<WorldProcess *> result;
+std::vector<SimulatedProcess *> World::processes() {
+  std::vector<SimulatedProcess *> result;
   for (auto &[host, it] : Processes)
     result.push_back(it.get());
   return result;
 }
 
-WorldProcess *World::leader() {
+SimulatedProcess *World::leader() {
   for (auto &[host, it] : Processes)
     if (it->Alive && it->Replica && it->Replica->log().holdsLease(Now))
       return it.get();
   return nullptr;
 }
 
-void World::start(WorldProcess &process) {
+void World::start(SimulatedProcess &process) {
   if (process.Alive)
     return;
   process.Alive = true;
@@ -111,7 +111,7 @@
     process.Engine->attach(
         {.OnTokens =
              [=](const AttemptId &attempt, std::uint32_t n, std::string text) {
-               at([=](WorldProcess &it) {
+               at([=](SimulatedProcess &it) {
                  it.Agent->controller().onTokens(it.Owner.now(), attempt, n,
                                                  text);
                  it.Agent->flush(it.Owner.now());
@@ -119,7 +119,7 @@
              },
          .OnEnd =
              [=](const AttemptId &attempt) {
-               at([=](WorldProcess &it) {
+               at([=](SimulatedProcess &it) {
                  it.Agent->controller().onWorkEnded(
                      it.Owner.now(), attempt, AttemptEnding::Answered, "");
                  it.Agent->flush(it.Owner.now());
@@ -129,7 +129,7 @@
   tick(spec.Host, process.Incarnation);
 }
 
-void World::kill(WorldProcess &process) {
+void World::kill(SimulatedProcess &process) {
   if (!process.Alive)
     return;
   process.Alive = false;
@@ -147,7 +147,7 @@
   process.Forward.reset();
 }
 
-void World::wake(WorldProcess &process) {
+void World::wake(SimulatedProcess &process) {
   process.Frozen = false;
   // After a pause, pending messages and expired timers may run in either order.
   // Here the messages run first.
@@ -157,12 +157,12 @@
     it();
 }
 
-void World::killFor(WorldProcess &process, Duration duration) {
+void World::killFor(SimulatedProcess &process, Duration duration) {
   kill(process);
   after(duration, [this, &process] { start(process); });
 }
 
-void World::freezeFor(WorldProcess &process, Duration duration) {
+void World::freezeFor(SimulatedProcess &process, Duration duration) {
   freeze(process);
   after(duration, [this, &process] {
     if (process.Alive && process.Frozen)
@@ -170,14 +170,14 @@
   });
 }
 
-void World::loseDisk(WorldProcess &process) {
+void World::loseDisk(SimulatedProcess &process) {
   kill(process);
   process.Disk.reset();
 }
 
 void World::atProcess(const HostName &host, std::uint64_t incarnation,
-                      std::function<void(WorldProcess &)> action) {
-  WorldProcess &process = *Processes.at(host);
+                      std::function<void(SimulatedProcess &)> action) {
+  SimulatedProcess &process = *Processes.at(host);
   if (!process.Alive || process.Incarnation != incarnation)
     return;
   if (process.Frozen) {
@@ -189,7 +189,7 @@
   action(process);
 }
 
-void World::probeEngine(WorldProcess &process) {
+void World::probeEngine(SimulatedProcess &process) {
   FakeEngine &engine = *process.Engine;
   AgentController &controller = process.Agent->controller();
   const std::uint64_t currentStart = engine.down() ? 0 : engine.startedAt();
@@ -207,7 +207,7 @@
 }
 
 void World::tick(const HostName &host, std::uint64_t incarnation) {
-  WorldProcess &process = *Processes.at(host);
+  SimulatedProcess &process = *Processes.at(host);
   if (!process.Alive || process.Incarnation != incarnation)
     return;
   after(Options.TickPeriod, [=, this] { tick(host, incarnation); });
@@ -237,23 +237,24 @@
 // Callers and operators
 //===----------------------------------------------------------------------===//
 
-RequestKey World::request(WorldProcess &entry, CallerRequest request) {
+RequestKey World::request(SimulatedProcess &entry, CallerRequest request) {
   request.Key = ++LastKey;
   RequestLedger.recordSubmitted(Now, request.Key, request);
   if (!entry.Alive)
     return request.Key; // Connection refused: the caller knows it wasn't run.
   entry.Waiting.insert(request.Key);
-  atProcess(entry.Spec.Host, entry.Incarnation, [request](WorldProcess &it) {
-    it.Entry->request(it.Owner.now(), request);
-  });
+  atProcess(entry.Spec.Host, entry.Incarnation,
+            [request](SimulatedProcess &it) {
+              it.Entry->request(it.Owner.now(), request);
+            });
   return request.Key;
 }
 
-void World::command(WorldProcess &entry, const Command &command,
+void World::command(SimulatedProcess &entry, const Command &command,
                     CommandCallback done) {
   if (!entry.Alive)
     return done(std::nullopt);
-  atProcess(entry.Spec.Host, entry.Incarnation, [=](WorldProcess &it) {
+  atProcess(entry.Spec.Host, entry.Incarnation, [=](SimulatedProcess &it) {
     it.Entry->command(it.Owner.now(), command, done);
   });
 }
--- a/packages/testkit/pimentofront/src/Testkit/World.h
+++ b/packages/testkit/pimentofront/src/Testkit/Simulation.h
@@ -1,5 +1,5 @@
-#ifndef PIMENTOFRONT_TESTKIT_WORLD_H
-#define PIMENTOFRONT_TESTKIT_WORLD_H
+#ifndef PIMENTOFRONT_TESTKIT_SIMULATION_H
+#define PIMENTOFRONT_TESTKIT_SIMULATION_H
 
 #include "FakeBackend.h"
 
@@ -49,13 +49,15 @@
 
 class World;
 
-/// \class WorldProcess
+/// \class SimulatedProcess
 /// \ingroup Testkit
 /// \brief A simulated process with its nodes, and the engine on the same host.
-class WorldProcess : public Transport, public BackendDriver, public AnswerSink {
+class SimulatedProcess : public Transport,
+                         public BackendDriver,
+                         public AnswerSink {
 public:
-  WorldProcess(World &world, ProcessSpec spec);
-  ~WorldProcess() override;
+  SimulatedProcess(World &simulation, ProcessSpec spec);
+  ~SimulatedProcess() override;
 
   LinkId open(const std::string &address, LinkPurpose purpose) override;
   void send(LinkId link, const Message &message) override;
@@ -91,9 +93,9 @@
   std::set<RequestKey> Waiting;
 };
 
-/// \class WorldOptions
+/// \class SimulationOptions
 /// \ingroup Testkit
-struct WorldOptions {
+struct SimulationOptions {
   std::uint64_t Seed = 1;
   /// One-way latency within an availability zone, and between two.
   Duration InZone = std::chrono::microseconds(200);
@@ -109,7 +111,7 @@
 /// clock.
 class World : public EventScheduler, public WallClock {
 public:
-  explicit World(const WorldOptions &options);
+  explicit World(const SimulationOptions &options);
   ~World() override;
 
   TimePoint now() const override { return Now; }
@@ -117,21 +119,21 @@
   void after(Duration delay, std::function<void()> action) override;
   void runUntil(TimePoint end);
 
-  WorldProcess &add(const ProcessSpec &spec);
-  WorldProcess &process(const HostName &host);
-  std::vector<WorldProcess *> processes();
+  SimulatedProcess &add(const ProcessSpec &spec);
+  SimulatedProcess &process(const HostName &host);
+  std::vector<SimulatedProcess *> processes();
   /// \returns the replica that holds the leader's lease, or null.
-  WorldProcess *leader();
-  void start(WorldProcess &process);
-  void kill(WorldProcess &process);
-  void freeze(WorldProcess &process) { process.Frozen = true; }
-  void wake(WorldProcess &process);
+  SimulatedProcess *leader();
+  void start(SimulatedProcess &process);
+  void kill(SimulatedProcess &process);
+  void freeze(SimulatedProcess &process) { process.Frozen = true; }
+  void wake(SimulatedProcess &process);
   /// Kills a process, and starts it again after \p duration.
-  void killFor(WorldProcess &process, Duration duration);
+  void killFor(SimulatedProcess &process, Duration duration);
   /// Freezes a process, and wakes it after \p duration if it is still frozen
   /// then.
-  void freezeFor(WorldProcess &process, Duration duration);
-  void loseDisk(WorldProcess &process);
+  void freezeFor(SimulatedProcess &process, Duration duration);
+  void loseDisk(SimulatedProcess &process);
 
   /// Stops delivery from \p from to \p to without closing links. As with TCP
   /// retransmission, healAll() delivers what is pending; a link whose data is
@@ -143,13 +145,13 @@
   /// Calls \p action if that incarnation of the process is alive; when it
   /// wakes, if it is frozen.
   void atProcess(const HostName &host, std::uint64_t incarnation,
-                 std::function<void(WorldProcess &)> action);
+                 std::function<void(SimulatedProcess &)> action);
 
   /// Submits a caller's request at an entry.
-  RequestKey request(WorldProcess &entry, CallerRequest request);
+  RequestKey request(SimulatedProcess &entry, CallerRequest request);
   /// Submits an operator's command at an entry. \p done gets no outcome if the
   /// entry is down.
-  void command(WorldProcess &entry, const Command &command,
+  void command(SimulatedProcess &entry, const Command &command,
                CommandCallback done);
 
   Ledger RequestLedger;
@@ -158,7 +160,7 @@
   Random Rng;
 
 private:
-  friend class WorldProcess;
+  friend class SimulatedProcess;
   struct Event {
     TimePoint At;
     std::uint64_t Sequence;
@@ -183,7 +185,7 @@
     TimePoint UnsentSince;
   };
 
-  LinkId openLink(WorldProcess &from, const std::string &address,
+  LinkId openLink(SimulatedProcess &from, const std::string &address,
                   LinkPurpose purpose);
   void connect(LinkId ours);
   void sendOn(LinkId link, const Message &message);
@@ -197,14 +199,14 @@
   bool isCut(const HostName &from, const HostName &to) const;
   Duration delayBetween(const HostName &from, const HostName &to) const;
   void tick(const HostName &host, std::uint64_t incarnation);
-  void probeEngine(WorldProcess &process);
+  void probeEngine(SimulatedProcess &process);
   void expireUnsent();
 
-  WorldOptions Options;
+  SimulationOptions Options;
   TimePoint Now{std::chrono::seconds(100)};
   std::uint64_t Sequence = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> Events;
-  std::map<HostName, std::unique_ptr<WorldProcess>> Processes;
+  std::map<HostName, std::unique_ptr<SimulatedProcess>> Processes;
   std::map<LinkId, LinkEnd> LinkEnds;
   LinkId LastLink = 0;
   std::set<std::pair<HostName, HostName>> Cuts;
--- a/packages/testkit/pimentofront/src/Testkit/WorldLinks.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/SimulationLinks.cpp
@@ -25,7 +25,7 @@
   return same ? Options.InZone : Options.BetweenZones;
 }
 
-LinkId World::openLink(WorldProcess &from, const std::string &address,
+LinkId World::openLink(SimulatedProcess &from, const std::string &address,
                        LinkPurpose purpose) {
   // In the simulation a host's address is its name.
   const LinkId id = ++LastLink;
@@ -59,7 +59,7 @@
   LinkEnds[ours].Known = true;
   const auto hello = [this](const HostName &host, bool accepted,
                             LinkPurpose purpose) {
-    const WorldProcess &it = *Processes.at(host);
+    const SimulatedProcess &it = *Processes.at(host);
     const bool named = accepted || purpose == LinkPurpose::Replication;
     return Hello{.Protocol = ProtocolVersion,
                  .Host = host,
@@ -74,10 +74,11 @@
     notifyOpen(theirs, hello(end.Host, false, end.Purpose));
     // The kernel accepts connections for a frozen process, but the process
     // doesn't send its greeting.
-    atProcess(end.PeerHost, it->second.Incarnation, [=](WorldProcess &p) {
-      World &world = p.Owner;
+    atProcess(end.PeerHost, it->second.Incarnation, [=](SimulatedProcess &p) {
+      World &simulation = p.Owner;
       const Hello greeting = hello(end.PeerHost, true, end.Purpose);
-      world.after(delay, [=, &world] { world.notifyOpen(ours, greeting); });
+      simulation.after(
+          delay, [=, &simulation] { simulation.notifyOpen(ours, greeting); });
     });
   });
 }
@@ -86,7 +87,7 @@
   const auto it = LinkEnds.find(link);
   if (it == LinkEnds.end())
     return;
-  atProcess(it->second.Host, it->second.Incarnation, [=](WorldProcess &p) {
+  atProcess(it->second.Host, it->second.Incarnation, [=](SimulatedProcess &p) {
     const auto end = p.Owner.LinkEnds.find(link);
     if (end == p.Owner.LinkEnds.end())
       return;
@@ -133,7 +134,7 @@
   const auto it = LinkEnds.find(to);
   if (it == LinkEnds.end())
     return;
-  atProcess(it->second.Host, it->second.Incarnation, [=](WorldProcess &p) {
+  atProcess(it->second.Host, it->second.Incarnation, [=](SimulatedProcess &p) {
     if (!p.Owner.LinkEnds.contains(to))
       return;
     const TimePoint now = p.Owner.now();
@@ -155,7 +156,7 @@
   if (it == LinkEnds.end())
     return;
   const LinkEnd end = it->second;
-  atProcess(end.Host, end.Incarnation, [=](WorldProcess &p) {
+  atProcess(end.Host, end.Incarnation, [=](SimulatedProcess &p) {
     if (p.Owner.LinkEnds.erase(link) == 0)
       return;
     for (Node *node : {static_cast<Node *>(p.Replica.get()),
--- a/packages/testkit/pimentofront/src/Testkit/PlainHeaders.h
+++ b/packages/testkit/pimentofront/src/Testkit/TestHeaderCodec.h
@@ -1,11 +1,11 @@
-#ifndef PIMENTOFRONT_TESTKIT_PLAIN_HEADERS_H
-#define PIMENTOFRONT_TESTKIT_PLAIN_HEADERS_H
+#ifndef PIMENTOFRONT_TESTKIT_TEST_HEADER_CODEC_H
+#define PIMENTOFRONT_TESTKIT_TEST_HEADER_CODEC_H
 
 #include "pimentofront/Forward.h"
 
 namespace pimentofront::testkit {
 
-/// \class PlainHeaders
+/// \class TestHeaderCodec
 /// \ingroup Testkit
 /// \brief A codec for a test platform's headers. A request has "id", "time"
 /// (until its deadline, in milliseconds), "adapter", "tokens" and "key". A
@@ -14,7 +14,7 @@
 /// "stamp", "not-run", "limit" (requests a second), "rest" (a backoff in
 /// seconds) and "leaving". A refusal has "come-back" (retry-after, in
 /// microseconds).
-class PlainHeaders : public HeaderCodec {
+class TestHeaderCodec : public HeaderCodec {
 public:
   RequestTraits decodeRequest(const RequestHead &head) const override {
     RequestTraits traits;
--- a/packages/testkit/src/FakeEngineMain.cpp
+++ b/packages/testkit/src/FakeEngineMain.cpp
@@ -112,7 +112,7 @@
     stream.Model = model;
     stream.RemainingTokens = body.value("max_tokens", 16U);
     exchange->beginStream(StatusOk, {{"Content-Type", "text/event-stream"}});
-    exchange->onGone([this, id] { Streams.erase(id); });
+    exchange->onDisconnect([this, id] { Streams.erase(id); });
     if (Options.TokenTime == Duration::zero())
       return finish(id);
     stream.Next = Loop.every(Options.TokenTime, [this, id] { step(id); });
--- a/test/AccountTest.cpp
+++ b/test/AccountTest.cpp
@@ -135,7 +135,7 @@
     "of the configuration") {
   const Duration bound = GENERATE(500ms, 2s, 5s, 30s);
   FakeConfiguration configuration;
-  testkit::PlainHeaders headers;
+  testkit::TestHeaderCodec headers;
   LeastLoaded routing;
   ForwardController controller({.Incarnation = 5, .RevocationBound = bound},
                                configuration, headers, routing);
--- a/test/ApiTest.cpp
+++ b/test/ApiTest.cpp
@@ -21,7 +21,7 @@
     REQUIRE(got.size() == 2);
     CHECK(got[0].Message == "hello");
     CHECK(got[1].Flags == Envelope::EndOfStream);
-    CHECK_FALSE(reader.hasRest());
+    CHECK_FALSE(reader.hasPartialEnvelope());
   }
 }
 
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -51,7 +51,8 @@
 }
 
 /// Keeps idle connections for long enough even on a heavily loaded machine.
-constexpr UpstreamPoolOptions LongIdle{.DefaultKeep = 1min, .OnceIdle = 1min};
+constexpr UpstreamPoolOptions LongIdle{.DefaultKeepAlive = 1min,
+                                       .MaxIdleForOnce = 1min};
 
 /// An HTTP server on loopback and a connection pool that sends requests to it.
 struct PoolUnderTest : UpstreamHandler, CallerHandler {
@@ -222,14 +223,14 @@
 TEST_CASE(
     "a request that may run only once reuses only a recently used connection") {
   SECTION("a connection used a moment ago is reused") {
-    CHECK(UpstreamPoolOptions().OnceIdle >= 100ms);
+    CHECK(UpstreamPoolOptions().MaxIdleForOnce >= 100ms);
     PoolUnderTest it;
     it.exchange(1, 4, /*once=*/true);
     it.exchange(1, 4, /*once=*/true);
     CHECK(it.Pool.connectionsOpened() == 1);
   }
   SECTION("a connection that the server may have closed meanwhile isn't") {
-    PoolUnderTest it({.DefaultKeep = 1min, .OnceIdle = -1us});
+    PoolUnderTest it({.DefaultKeepAlive = 1min, .MaxIdleForOnce = -1us});
     it.exchange(1, 4, /*once=*/true);
     it.exchange(1, /*maxOpen=*/1, /*once=*/true);
     CHECK(it.Pool.connectionsOpened() == 2);
@@ -239,7 +240,7 @@
 
 TEST_CASE(
     "a new connection that is closed without an answer counts as rejected") {
-  PoolUnderTest it({.DefaultKeep = 1min, .TurnedAwayWithin = 1min});
+  PoolUnderTest it({.DefaultKeepAlive = 1min, .RejectedWithin = 1min});
   it.exchange(1, 4);
   SECTION("a new connection") {
     it.send(4);
@@ -247,7 +248,7 @@
     it.turnUntil([&] { return it.Asked.size() == 2; });
     it.Server.replyAbort(it.Asked.back());
     it.turnUntil([&] { return it.Endings.size() == 2; });
-    CHECK(it.Endings.back() == UpstreamEnding::TurnedAway);
+    CHECK(it.Endings.back() == UpstreamEnding::Rejected);
   }
   SECTION("a connection that has answered before") {
     it.send(4);
--- a/test/ControlApiTest.cpp
+++ b/test/ControlApiTest.cpp
@@ -21,7 +21,7 @@
   std::string_view path() const override { return Path; }
   std::string_view body() const override { return "{}"; }
   std::string_view header(const char *) const override { return {}; }
-  bool gone() const override { return false; }
+  bool isDisconnected() const override { return false; }
   std::size_t unsentBytes() const override { return 0; }
   void reply(int status, const std::vector<HttpHeader> &,
              std::string_view) override {
@@ -33,7 +33,7 @@
   void sendPiece(std::string_view) override {}
   void endStream() override {}
   void abort() override {}
-  void onGone(std::function<void()>) override {}
+  void onDisconnect(std::function<void()>) override {}
 
   int Status = 0;
 
--- a/test/EvacuationFleetTest.cpp
+++ b/test/EvacuationFleetTest.cpp
@@ -99,7 +99,7 @@
 
   /// \returns whether the zone is evacuated at the leader; not set without one.
   std::optional<bool> isEvacuated(const ZoneName &zone) {
-    WorldProcess *leader = Fleet.world().leader();
+    SimulatedProcess *leader = Fleet.simulation().leader();
     if (!leader)
       return std::nullopt;
     const ZoneRecord *it =
@@ -109,7 +109,7 @@
   /// \returns the revision of the configuration, which each change increments;
   /// 0 without a leader.
   Revision configurationRevision() {
-    WorldProcess *leader = Fleet.world().leader();
+    SimulatedProcess *leader = Fleet.simulation().leader();
     return leader ? leader->Replica->state().configuration().revision() : 0;
   }
 
@@ -130,7 +130,7 @@
     Fleet.call(
         Fleet.entry(entry), "request-" + std::to_string(Sent),
         [this](const CallerAnswer &it) {
-          Answered += it.Whole && it.Stamped ? 1 : 0;
+          Answered += it.IsComplete && it.Stamped ? 1 : 0;
         },
         adapter);
   }
@@ -140,13 +140,14 @@
       return;
     // One in five calls is delayed for most of a call's maximum duration.
     const Duration delay = Rng.uniform() < 0.2 ? Rng.jitter(500ms) : 2ms;
-    Fleet.world().after(delay, [this, order] { deliverOrder(order); });
-    Fleet.world().after(Rng.jitter(700ms), [this, order] { sendOrder(order); });
+    Fleet.simulation().after(delay, [this, order] { deliverOrder(order); });
+    Fleet.simulation().after(Rng.jitter(700ms),
+                             [this, order] { sendOrder(order); });
   }
 
   /// Only the leader accepts orders; the other replicas redirect to it.
   void deliverOrder(const std::shared_ptr<Order> &order) {
-    WorldProcess *leader = Fleet.world().leader();
+    SimulatedProcess *leader = Fleet.simulation().leader();
     if (!leader || leader->Frozen || !leader->Alive)
       return;
     leader->Replica->orderEvacuation(
@@ -183,7 +184,7 @@
       // The other two zones take its load.
       CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 90 / 100);
       for (std::uint32_t i = 0; i < 12; i += 3)
-        it.Fleet.chillServer(i);
+        it.Fleet.makeServerCold(i);
       const auto back = it.order(FirstZone, /*evacuate=*/false);
       it.runFor(10s);
       REQUIRE(back->AcknowledgedAt);
@@ -236,11 +237,11 @@
   const auto away = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
   REQUIRE(away->AcknowledgedAt);
-  World &world = it.Fleet.world();
-  for (WorldProcess *process : world.processes())
-    world.kill(*process);
-  for (WorldProcess *process : world.processes())
-    world.start(*process);
+  World &simulation = it.Fleet.simulation();
+  for (SimulatedProcess *process : simulation.processes())
+    simulation.kill(*process);
+  for (SimulatedProcess *process : simulation.processes())
+    simulation.start(*process);
   const TimePoint began = it.Fleet.now();
   it.runFor(10s);
   CHECK(it.isEvacuated(FirstZone) == true);
@@ -253,9 +254,9 @@
     "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 40});
   it.runFor(2s);
-  World &world = it.Fleet.world();
+  World &simulation = it.Fleet.simulation();
   it.Fleet.cutOffReplicas(it.Fleet.entry(0).Spec.Host);
-  world.freezeFor(it.Fleet.entry(1), 8s);
+  simulation.freezeFor(it.Fleet.entry(1), 8s);
   const auto away = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(12s);
   REQUIRE(away->AcknowledgedAt);
@@ -288,7 +289,7 @@
                 .LostAcknowledgementShare = draw(3) * 0.4,
                 .Servers = 3 + draw(8),
                 .Entries = 2 + draw(4)});
-  World &world = it.Fleet.world();
+  World &simulation = it.Fleet.simulation();
   std::string schedule;
   const auto recordStep = [&](const std::string &what) {
     schedule += "; " +
@@ -296,12 +297,12 @@
                 " " + what;
   };
   const auto injectFault = [&] {
-    WorldProcess *process = &it.Fleet.entry(draw(it.Options.Entries));
+    SimulatedProcess *process = &it.Fleet.entry(draw(it.Options.Entries));
     const std::uint32_t kind = draw(6);
     if (kind == 1 && engines)
       process = &it.Fleet.agent(draw(it.Options.Servers));
     if (kind == 2)
-      process = world.leader();
+      process = simulation.leader();
     if (kind == 5) {
       recordStep("crash of a server");
       return it.Fleet.crashServer(draw(it.Options.Servers));
@@ -315,12 +316,12 @@
                             : "kill ") +
                host.str() + " for " + std::to_string(toSeconds(away)));
     if (kind == 3)
-      return world.freezeFor(*process, away);
+      return simulation.freezeFor(*process, away);
     if (kind == 4) {
       it.Fleet.cutOffReplicas(host);
-      return world.after(away, [&world] { world.healAll(); });
+      return simulation.after(away, [&simulation] { simulation.healAll(); });
     }
-    world.killFor(*process, away);
+    simulation.killFor(*process, away);
   };
   const auto run = [&](std::uint32_t seconds) {
     for (std::uint32_t i = 0; i < seconds; ++i) {
@@ -343,7 +344,7 @@
       away->AcknowledgedAt && ended >= *away->AcknowledgedAt + EvacuationBound;
   for (std::uint32_t i = 0; empty && i < it.Options.Servers; i += 3)
     if (draw(2) == 0)
-      it.Fleet.chillServer(i);
+      it.Fleet.makeServerCold(i);
   const auto back = it.order(FirstZone, /*evacuate=*/false);
   recordStep("restore");
   run(8);
--- a/test/ForwardUnderTest.h
+++ b/test/ForwardUnderTest.h
@@ -36,7 +36,7 @@
   std::optional<Duration> Age = Duration::zero();
 };
 
-using testkit::PlainHeaders;
+using testkit::TestHeaderCodec;
 
 /// The hash of an empty body.
 inline const ContentHash NoBody = ContentHasher().finish();
@@ -165,7 +165,7 @@
   }
 
   FakeConfiguration Configuration;
-  PlainHeaders Headers;
+  TestHeaderCodec Headers;
   LeastLoaded Routing;
   ForwardController Controller;
   std::vector<ForwardCommand> Commands;
--- a/test/HttpTest.cpp
+++ b/test/HttpTest.cpp
@@ -13,20 +13,20 @@
     return true;
   }
   bool onResponseHead(ResponseHead head) override {
-    Answers.push_back(std::move(head));
+    Responses.push_back(std::move(head));
     return true;
   }
   void onBody(std::string_view bytes) override { Body += bytes; }
   void onMessageEnd() override { ++Ended; }
 
   std::vector<RequestHead> Requests;
-  std::vector<ResponseHead> Answers;
+  std::vector<ResponseHead> Responses;
   std::string Body;
   int Ended = 0;
 };
 
 struct ParserUnderTest {
-  explicit ParserUnderTest(HttpSide side, const HttpLimits &limits = {})
+  explicit ParserUnderTest(HttpMessageKind side, const HttpLimits &limits = {})
       : Parser(side, limits, Collected) {}
   /// Feeds all bytes, \p step at a time. \returns whether there is no fault.
   bool feed(std::string_view bytes, std::size_t step = 100000) {
@@ -44,7 +44,7 @@
 };
 
 HttpFault faultOf(std::string_view bytes, HttpLimits limits = {}) {
-  ParserUnderTest reading(HttpSide::Requests, limits);
+  ParserUnderTest reading(HttpMessageKind::Requests, limits);
   reading.feed(bytes);
   return reading.Parser.fault();
 }
@@ -56,7 +56,7 @@
                             "Transfer-Encoding: chunked\r\nX-Y: z\r\n\r\n"
                             "3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: u\r\n\r\n";
   for (const std::size_t step : {1U, 2U, 7U, 1000U}) {
-    ParserUnderTest reading(HttpSide::Requests);
+    ParserUnderTest reading(HttpMessageKind::Requests);
     REQUIRE(reading.feed(bytes, step));
     REQUIRE(reading.Collected.Ended == 1);
     CHECK(reading.Collected.Body == "abcde");
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("the parser stops after each of several pipelined messages") {
-  ParserUnderTest reading(HttpSide::Requests);
+  ParserUnderTest reading(HttpMessageKind::Requests);
   const std::string two = "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n";
   const std::size_t used = reading.Parser.feed(two);
   CHECK(used == two.size() / 2);
@@ -125,7 +125,7 @@
   };
   for (const char *it : cut) {
     INFO(it);
-    ParserUnderTest reading(HttpSide::Answers);
+    ParserUnderTest reading(HttpMessageKind::Responses);
     reading.feed(it);
     reading.Parser.finish();
     CHECK(reading.Collected.Ended == 0);
@@ -134,7 +134,7 @@
 }
 
 TEST_CASE("a response without a length is complete when its connection ends") {
-  ParserUnderTest reading(HttpSide::Answers);
+  ParserUnderTest reading(HttpMessageKind::Responses);
   reading.feed("HTTP/1.1 200 OK\r\n\r\nabc");
   CHECK(reading.Collected.Ended == 0);
   reading.Parser.finish();
@@ -149,18 +149,18 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n"
         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "\x01\x02\x03garbage\r\n\r\n"}) {
-    ParserUnderTest reading(HttpSide::Answers);
+    ParserUnderTest reading(HttpMessageKind::Responses);
     CHECK_FALSE(reading.feed(it));
   }
 }
 
 TEST_CASE("an interim response is skipped, and HEAD has no body") {
-  ParserUnderTest reading(HttpSide::Answers);
+  ParserUnderTest reading(HttpMessageKind::Responses);
   reading.Parser.expectResponseTo("HEAD");
   REQUIRE(reading.feed("HTTP/1.1 100 Continue\r\n\r\n"
                        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"));
   REQUIRE(reading.Collected.Ended == 1);
-  CHECK(reading.Collected.Answers.at(0).Status == 200);
+  CHECK(reading.Collected.Responses.at(0).Status == 200);
   CHECK(reading.Collected.Body.empty());
 }
 
@@ -175,7 +175,7 @@
     std::string bytes = sound[random.next() % 2];
     for (std::uint64_t n = random.next() % 4; n > 0; --n)
       bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
-    ParserUnderTest reading(HttpSide::Requests);
+    ParserUnderTest reading(HttpMessageKind::Requests);
     reading.feed(bytes, 1 + random.next() % bytes.size());
     CHECK(reading.Collected.Ended <= 2);
     CHECK(reading.Collected.Body.size() <= bytes.size());
@@ -184,13 +184,13 @@
 
 TEST_CASE("written messages are parsed back unchanged") {
   const RequestHead head{"POST", "/x", {{"Host", "h"}, {"A", "b"}}};
-  ParserUnderTest requests(HttpSide::Requests);
+  ParserUnderTest requests(HttpMessageKind::Requests);
   REQUIRE(requests.feed(writeRequestHead(head, 3) + "abc"));
   REQUIRE(requests.Collected.Ended == 1);
   CHECK(requests.Collected.Requests.at(0).Target == "/x");
   CHECK(requests.Collected.Body == "abc");
   const ResponseHead answer{200, {{"A", "b"}}};
-  ParserUnderTest answers(HttpSide::Answers);
+  ParserUnderTest answers(HttpMessageKind::Responses);
   REQUIRE(answers.feed(
       writeResponseHead(answer, HttpFraming::Chunked, 0, true) +
       writeChunkHead(20) + std::string(20, 'x') + "\r\n0\r\n\r\n"));
--- a/test/LogTest.cpp
+++ b/test/LogTest.cpp
@@ -1,4 +1,4 @@
-#include "LogGate.h"
+#include "LogRateLimiter.h"
 #include "PipeAppender.h"
 
 #include <catch2/catch.hpp>
@@ -11,18 +11,18 @@
 
 TEST_CASE(
     "log lines are rate-limited per event, and dropped lines are counted") {
-  LogGate gate({.Burst = 5, .PerSecond = 2});
+  LogRateLimiter gate({.Burst = 5, .PerSecond = 2});
   const TimePoint start{100s};
   int written = 0;
   for (int i = 0; i < 100; ++i)
-    written += gate.take(start, "busy");
+    written += gate.allow(start, "busy");
   CHECK(written == 5);
-  CHECK(gate.take(start, "other"));
-  CHECK(gate.takeLeftOut() ==
+  CHECK(gate.allow(start, "other"));
+  CHECK(gate.takeOmitted() ==
         std::map<std::string, std::uint64_t>{{"busy", 95}});
-  CHECK(gate.takeLeftOut().empty());
+  CHECK(gate.takeOmitted().empty());
   for (int i = 0; i < 100; ++i)
-    written += gate.take(start + 10ms * i, "busy");
+    written += gate.allow(start + 10ms * i, "busy");
   CHECK(written == 6);
 }
 
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -100,7 +100,7 @@
 TEST_CASE("a server that turned a connection away is checked, too") {
   QuarantineEntry it;
   it.request("safe");
-  it.end(it.only<SendUpstream>(), UpstreamEnding::TurnedAway, Exited);
+  it.end(it.only<SendUpstream>(), UpstreamEnding::Rejected, Exited);
   CHECK(it.question<ReportServerExit>());
 }
 
--- a/test/QuarantineFleetTest.cpp
+++ b/test/QuarantineFleetTest.cpp
@@ -35,7 +35,7 @@
     Fleet.runFor(5s);
   }
 
-  WorldProcess &anyEntry() {
+  SimulatedProcess &anyEntry() {
     const auto n = static_cast<double>(Entries);
     return Fleet.entry(static_cast<std::uint32_t>(Rng.uniform() * n));
   }
@@ -45,11 +45,11 @@
   void send() {
     const std::string content = "ordinary-" + std::to_string(++OtherRequests);
     Fleet.call(anyEntry(), content, [this, content](const CallerAnswer &it) {
-      if (it.Whole && it.Stamped)
+      if (it.IsComplete && it.Stamped)
         return void(++Answered);
       recordRefusal(it);
       Fleet.call(anyEntry(), content, [this](const CallerAnswer &again) {
-        if (again.Whole && again.Stamped)
+        if (again.IsComplete && again.Stamped)
           return void(++Answered);
         recordRefusal(again);
         ++Unanswered;
@@ -64,7 +64,7 @@
   /// Sends load for \p load and resends each of \p crashing every 300 ms.
   void run(Duration load, const std::vector<std::string> &crashing) {
     for (const std::string &it : crashing)
-      Fleet.addDeadly(it);
+      Fleet.addCrashingRequest(it);
     const TimePoint end = Fleet.now() + load;
     TimePoint nextCrashing = Fleet.now() + 1s;
     while (Fleet.now() < end) {
@@ -144,10 +144,10 @@
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
     for (int i = 0; i < 60; ++i)
-      it.Fleet.world().after(i * 300ms, [&it, i] {
+      it.Fleet.simulation().after(i * 300ms, [&it, i] {
         const auto server = static_cast<std::uint32_t>(i * 5 % 12);
         if (i % 4 == 0)
-          it.Fleet.darkenServer(server);
+          it.Fleet.powerOffServer(server);
         else
           it.Fleet.crashServer(server);
       });
@@ -162,27 +162,29 @@
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     LoadedFleet it({.World = {.Seed = seed}});
-    World &world = it.Fleet.world();
+    World &simulation = it.Fleet.simulation();
     const auto scheduleAt = [&](Duration at, std::function<void()> action) {
-      world.after(at, std::move(action));
+      simulation.after(at, std::move(action));
     };
     // The leader is killed while the first crashes are being reported; one
     // entry restarts; another is paused for three seconds; then all replicas
     // restart.
     scheduleAt(1500ms, [&] {
-      if (WorldProcess *leader = world.leader()) {
-        world.kill(*leader);
-        world.after(2s, [&world, leader] { world.start(*leader); });
+      if (SimulatedProcess *leader = simulation.leader()) {
+        simulation.kill(*leader);
+        simulation.after(2s,
+                         [&simulation, leader] { simulation.start(*leader); });
       }
     });
-    scheduleAt(5s, [&] { world.kill(it.Fleet.entry(1)); });
-    scheduleAt(6s, [&] { world.start(it.Fleet.entry(1)); });
-    scheduleAt(7s, [&] { world.freeze(it.Fleet.entry(2)); });
-    scheduleAt(10s, [&] { world.wake(it.Fleet.entry(2)); });
+    scheduleAt(5s, [&] { simulation.kill(it.Fleet.entry(1)); });
+    scheduleAt(6s, [&] { simulation.start(it.Fleet.entry(1)); });
+    scheduleAt(7s, [&] { simulation.freeze(it.Fleet.entry(2)); });
+    scheduleAt(10s, [&] { simulation.wake(it.Fleet.entry(2)); });
     scheduleAt(12s, [&] {
       for (std::uint32_t i = 0; i < 3; ++i) {
-        world.kill(it.Fleet.replica(i));
-        world.after(500ms, [&, i] { world.start(it.Fleet.replica(i)); });
+        simulation.kill(it.Fleet.replica(i));
+        simulation.after(500ms,
+                         [&, i] { simulation.start(it.Fleet.replica(i)); });
       }
     });
     it.run(20s, {"deadly"});
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -42,7 +42,7 @@
     Fleet.runFor(5s);
   }
 
-  WorldProcess &anyEntry() {
+  SimulatedProcess &anyEntry() {
     return Fleet.entry(static_cast<std::uint32_t>(Rng.uniform() * Entries));
   }
 
@@ -61,7 +61,7 @@
         [this, content, adapter](const CallerAnswer &it) {
           if (recordAnswer(it))
             return;
-          Fleet.world().after(500ms, [this, content, adapter] {
+          Fleet.simulation().after(500ms, [this, content, adapter] {
             Fleet.call(
                 anyEntry(), content,
                 [this](const CallerAnswer &again) { recordAnswer(again); },
@@ -71,7 +71,7 @@
         adapter);
   }
   bool recordAnswer(const CallerAnswer &answer) {
-    const bool answered = answer.Whole && answer.Stamped;
+    const bool answered = answer.IsComplete && answer.Stamped;
     Answered += answered ? 1 : 0;
     return answered;
   }
@@ -91,7 +91,7 @@
                           TimePoint until) const {
     std::vector<TimePoint> counted;
     std::map<EntryProcess, TimePoint> firstReceived;
-    for (const FeedbackTold &it : Fleet.told())
+    for (const FeedbackDelivery &it : Fleet.deliveries())
       if (it.Server == server && it.At >= since)
         firstReceived.try_emplace(it.Entry, it.At);
     for (const ServerArrival &it : Fleet.arrivals()) {
@@ -135,8 +135,8 @@
   const int sentBefore = it.Sent;
   const int answeredBefore = it.Answered;
   const TimePoint since = it.Fleet.now();
-  it.Fleet.setAsks(3, {.Limit = 1.2});
-  it.Fleet.setAsks(7, {.Limit = 1.0});
+  it.Fleet.setFeedback(3, {.Limit = 1.2});
+  it.Fleet.setFeedback(7, {.Limit = 1.0});
   it.runFor(30s);
   const TimePoint until = it.Fleet.now();
   INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
@@ -172,7 +172,7 @@
       LimitedFleet it(options, {.Adapters = 8});
       it.runFor(10s);
       for (std::uint32_t i = 0; i < 4; ++i)
-        it.Fleet.setAsks(i, {.Limit = 1 + i});
+        it.Fleet.setFeedback(i, {.Limit = 1 + i});
       it.runFor(5s);
       const TimePoint since = it.Fleet.now();
       it.runFor(30s);
@@ -195,10 +195,10 @@
     it.runFor(10s);
     const HostName server = it.Fleet.serverName(2);
     const TimePoint since = it.Fleet.now();
-    it.Fleet.setAsks(2, {.Limit = 0});
+    it.Fleet.setFeedback(2, {.Limit = 0});
     it.runFor(20s);
     CHECK(it.maxInWindow(server, since, it.Fleet.now()) <= maxArrivals(0.25));
-    it.Fleet.setAsks(2, {});
+    it.Fleet.setFeedback(2, {});
     it.runFor(10s);
     const TimePoint ended = it.Fleet.now();
     it.runFor(10s);
@@ -223,17 +223,17 @@
   options.Entries = 2 + draw(5);
   LimitedFleet it(options,
                   {.PerSecond = 10.0 + draw(50), .Adapters = 4 + draw(40)});
-  World &world = it.Fleet.world();
+  World &simulation = it.Fleet.simulation();
   const std::uint32_t limited = draw(options.Servers);
   const HostName server = it.Fleet.serverName(limited);
   std::string faults;
   const auto injectFault = [&] {
-    WorldProcess *process = &it.Fleet.entry(draw(options.Entries));
+    SimulatedProcess *process = &it.Fleet.entry(draw(options.Entries));
     const std::uint32_t kind = draw(4);
     if (kind == 1 && engines)
       process = &it.Fleet.agent(limited);
     if (kind == 2)
-      process = world.leader();
+      process = simulation.leader();
     if (!process || !process->Alive || process->Frozen)
       return;
     const Duration away = (200 + draw(3000)) * 1ms;
@@ -242,15 +242,15 @@
               (kind == 3 ? " freeze " : " kill ") + process->Spec.Host.str() +
               " for " + std::to_string(toSeconds(away));
     if (kind == 3)
-      return world.freezeFor(*process, away);
-    world.killFor(*process, away);
+      return simulation.freezeFor(*process, away);
+    simulation.killFor(*process, away);
   };
   it.runFor(4s);
   std::string violations;
   for (int period = 0; period < 3; ++period) {
     const double limit = draw(120) / 10.0;
     const TimePoint since = it.Fleet.now();
-    it.Fleet.setAsks(limited, {.Limit = limit});
+    it.Fleet.setFeedback(limited, {.Limit = limit});
     for (int i = 0; i < 8; ++i) {
       if (draw(3) == 0)
         injectFault();
@@ -264,7 +264,7 @@
                     std::to_string(most) + ", allowed " +
                     std::to_string(allowed);
     if (draw(2) == 0) {
-      it.Fleet.setAsks(limited, {});
+      it.Fleet.setFeedback(limited, {});
       it.runFor(3s);
     }
   }
@@ -283,31 +283,33 @@
 /// \returns the number of requests that reached a server although their entry
 /// had received feedback from it that, by \p forbids, excludes a request at
 /// that time.
-std::size_t sentDespiteFeedback(const ForwardFleet &fleet,
-                                bool (*forbids)(const FeedbackTold &delivery,
-                                                TimePoint at)) {
+std::size_t sentDespiteFeedback(
+    const ForwardFleet &fleet,
+    bool (*forbids)(const FeedbackDelivery &delivery, TimePoint at)) {
   // Covers requests in flight to the server when the entry read the answer.
   constexpr Duration Latency = 2ms;
   return static_cast<std::size_t>(
       std::ranges::count_if(fleet.arrivals(), [&](const ServerArrival &sent) {
-        return std::ranges::any_of(fleet.told(), [&](const FeedbackTold &it) {
-          return it.Server == sent.Server && it.Entry == sent.Entry &&
-                 sent.At > it.At + Latency && forbids(it, sent.At);
-        });
+        return std::ranges::any_of(
+            fleet.deliveries(), [&](const FeedbackDelivery &it) {
+              return it.Server == sent.Server && it.Entry == sent.Entry &&
+                     sent.At > it.At + Latency && forbids(it, sent.At);
+            });
       }));
 }
 
 std::size_t sentDuringBackoff(const ForwardFleet &fleet) {
-  return sentDespiteFeedback(fleet, [](const FeedbackTold &delivery,
-                                       TimePoint at) {
-    return delivery.Asks.Backoff && at < delivery.At + *delivery.Asks.Backoff;
-  });
+  return sentDespiteFeedback(
+      fleet, [](const FeedbackDelivery &delivery, TimePoint at) {
+        return delivery.Feedback.Backoff &&
+               at < delivery.At + *delivery.Feedback.Backoff;
+      });
 }
 
 std::size_t sentToLeaving(const ForwardFleet &fleet) {
   return sentDespiteFeedback(fleet,
-                             [](const FeedbackTold &delivery, TimePoint) {
-                               return delivery.Asks.Leaving;
+                             [](const FeedbackDelivery &delivery, TimePoint) {
+                               return delivery.Feedback.Leaving;
                              });
 }
 
@@ -327,10 +329,10 @@
       const int sentBefore = it.Sent;
       const int answeredBefore = it.Answered;
       for (std::uint32_t i = 2; i < 6; ++i)
-        it.Fleet.setAsks(i, {.Backoff = 3s});
+        it.Fleet.setFeedback(i, {.Backoff = 3s});
       it.runFor(10s);
       for (std::uint32_t i = 2; i < 6; ++i)
-        it.Fleet.setAsks(i, {});
+        it.Fleet.setFeedback(i, {});
       const TimePoint over = it.Fleet.now();
       it.runFor(10s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
@@ -352,7 +354,7 @@
     LimitedFleet it(options, {.Adapters = 8});
     it.runFor(10s);
     for (std::uint32_t i = 0; i < 3; ++i)
-      it.Fleet.setAsks(i, {.Backoff = 10s});
+      it.Fleet.setFeedback(i, {.Backoff = 10s});
     it.runFor(5s);
     CHECK(sentDuringBackoff(it.Fleet) == 0);
     std::optional<CallerAnswer> answer;
@@ -378,12 +380,12 @@
       LimitedFleet it(fleetOptions(seed, engines), {});
       it.runFor(10s);
       for (std::uint32_t i = 2; i < 5; ++i)
-        it.Fleet.setAsks(i, {.Leaving = true});
+        it.Fleet.setFeedback(i, {.Leaving = true});
       it.runFor(10s);
       // Its registrations don't say that it leaves, and its answers no longer
       // do; it must still get no request until another process replaces it.
       for (std::uint32_t i = 2; i < 5; ++i)
-        it.Fleet.setAsks(i, {});
+        it.Fleet.setFeedback(i, {});
       it.runFor(5s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
       CHECK(sentToLeaving(it.Fleet) == 0);
@@ -423,9 +425,9 @@
           const std::string_view kind(what);
           for (std::uint32_t i = 2; i < 6; ++i) {
             if (kind == "limits")
-              it.Fleet.setAsks(i, {.Limit = 1.0});
+              it.Fleet.setFeedback(i, {.Limit = 1.0});
             if (kind == "rests")
-              it.Fleet.setAsks(i, {.Backoff = 3s});
+              it.Fleet.setFeedback(i, {.Backoff = 3s});
           }
           it.runFor(15s);
           const TimePoint until = it.Fleet.now();
@@ -436,7 +438,7 @@
             const HostName server = it.Fleet.serverName(i);
             arrived += it.arrivalsAt(server, since, until);
             most = std::max(most, it.maxInWindow(server, since, until));
-            for (const FeedbackTold &received : it.Fleet.told())
+            for (const FeedbackDelivery &received : it.Fleet.deliveries())
               if (received.Server == server)
                 informed.emplace(server, received.Entry);
           }
--- a/test/TimeLineTest.cpp
+++ b/test/TimeLineTest.cpp
@@ -21,8 +21,8 @@
   CHECK(line.events()[0].Event == "first");
   CHECK(line.events()[1].Details == "x=1");
   CHECK(findings.toText() == "a:2: this is no event\n");
-  CHECK(line.toPage().find("&lt;r>") != std::string::npos);
-  line.keepRequest("other");
+  CHECK(line.toHtml().find("&lt;r>") != std::string::npos);
+  line.removeOtherRequests("other");
   CHECK(line.events().size() == 1);
 }
 
--- a/test/platform/FakePlatformMain.cpp
+++ b/test/platform/FakePlatformMain.cpp
@@ -242,7 +242,7 @@
                    .Headers = {{"Content-Type", "application/json"}},
                    .Body = body.dump(),
                    .Timeout = std::chrono::seconds(1),
-                   .OnEnd = [=, this](const HttpAnswer &answer) {
+                   .OnEnd = [=, this](const HttpResponse &answer) {
                      constexpr int Redirect = 307;
                      const bool good = answer.Ending == HttpEnding::Complete &&
                                        answer.Status < Redirect;
--- a/test/platform/FakePlatformServers.cpp
+++ b/test/platform/FakePlatformServers.cpp
@@ -42,7 +42,7 @@
 class FakeServer::Channel : public HttpMessageHandler {
 public:
   Channel(FakeServer &owner, bufferevent *bev)
-      : Owner(owner), Bev(bev), Parser(HttpSide::Requests, {}, *this) {
+      : Owner(owner), Bev(bev), Parser(HttpMessageKind::Requests, {}, *this) {
     bufferevent_setcb(bev, onReadable, nullptr, onEvent, this);
     bufferevent_enable(bev, EV_READ | EV_WRITE);
   }
--- a/test/platform/soak/Operator.cpp
+++ b/test/platform/soak/Operator.cpp
@@ -23,7 +23,7 @@
   return result;
 }
 
-bool isGood(const HttpAnswer &answer) {
+bool isGood(const HttpResponse &answer) {
   return answer.Ending == HttpEnding::Complete && answer.Status == StatusOk;
 }
 
@@ -67,7 +67,7 @@
          .Body = body.dump(),
          .Timeout = CallTimeout,
          .FreshConnection = true,
-         .OnEnd = [](const HttpAnswer &) {}});
+         .OnEnd = [](const HttpResponse &) {}});
 }
 
 void Operator::change() {
@@ -90,7 +90,7 @@
        .Body = document(SentVersion).dump(),
        .Timeout = CallTimeout,
        .FreshConnection = true,
-       .OnEnd = [this, attempt](const HttpAnswer &answer) {
+       .OnEnd = [this, attempt](const HttpResponse &answer) {
          if (isGood(answer)) {
            Acknowledged = SentVersion;
            AcknowledgedAt = Loop.now();
@@ -120,12 +120,12 @@
                   .Path = "/-/config",
                   .Timeout = CallTimeout,
                   .FreshConnection = true,
-                  .OnEnd = [this, minVersion](const HttpAnswer &answer) {
+                  .OnEnd = [this, minVersion](const HttpResponse &answer) {
                     onRead(answer, minVersion);
                   }});
 }
 
-void Operator::onRead(const HttpAnswer &answer, std::uint64_t minVersion) {
+void Operator::onRead(const HttpResponse &answer, std::uint64_t minVersion) {
   if (!isGood(answer))
     return;
   ++Results.Counts["documents read back"];
--- a/test/platform/soak/Operator.h
+++ b/test/platform/soak/Operator.h
@@ -40,7 +40,7 @@
   void sendChange(std::size_t attempt);
   void registerServer(const Server &server, const std::string &id,
                       std::size_t at);
-  void onRead(const HttpAnswer &answer, std::uint64_t minVersion);
+  void onRead(const HttpResponse &answer, std::uint64_t minVersion);
 
   EventLoop &Loop;
   Deployment &System;
