--- a/packages/account/pimentofront/src/Account/AllotmentBucket.h
+++ b/packages/account/pimentofront/src/Account/AllotmentBucket.h
@@ -16,8 +16,9 @@
   /// In units of the allotment.
   double Slack = 0;
   /// How long an entry may spend the units that it holds, counted from its last
-  /// report. A reduced limit takes full effect after this time, and the units
-  /// of an entry that has exited are unavailable to the account for as long.
+  /// report. After a limit is reduced, units granted before can be spent for
+  /// this long, and the units of an entry that has exited are unavailable to
+  /// the account for as long.
   Duration Lease = std::chrono::seconds(4);
   friend auto operator<=>(const AllotmentRules &,
                           const AllotmentRules &) = default;
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.h
@@ -17,12 +17,14 @@
 /// leader lease, so at most one ledger is active at any time. A ledger is soft
 /// state. The units that a former ledger granted remain valid for one lease, so
 /// a new ledger starts at the level that the rules reserve for a change of
-/// ledger (AllotmentBucket::NewLedgerLevel). It starts with an empty bucket if
-/// it can't tell how long ago the former ledger started. Units that an entry
+/// ledger (AllotmentBucket::NewLedgerLevel). If it can't tell how long ago the
+/// former ledger started, it starts at AllotmentBucket::MinLevel and with an
+/// empty bucket of the account's own. Units that an entry
 /// doesn't return before its lease expires count as spent.
 ///
-/// Accounts without a limit have no bucket. An account whose bucket is full and
-/// of which no units are leased is dropped.
+/// Accounts without a limit have no bucket. An account is dropped once no units
+/// of it are leased and its bucket is full, provided that a bucket that was
+/// empty when the ledger started would be full by now, too.
 class AllotmentLedger {
 public:
   /// \param sizing outlives the ledger.
--- a/packages/account/pimentofront/src/Account/LeaseSizing.cpp
+++ b/packages/account/pimentofront/src/Account/LeaseSizing.cpp
@@ -8,9 +8,9 @@
   return 0;
 }
 
-double UsageBasedLeases::advance(const AllotmentBucket &bucket, double wished,
+double UsageBasedLeases::advance(const AllotmentBucket &bucket, double desired,
                                  double level) const {
-  return std::min(wished, bucket.grantableInAdvance(level));
+  return std::min(desired, bucket.grantableInAdvance(level));
 }
 
 } // namespace pimentofront
--- a/packages/account/pimentofront/src/Account/LeaseSizing.h
+++ b/packages/account/pimentofront/src/Account/LeaseSizing.h
@@ -12,10 +12,10 @@
 class LeaseSizing {
 public:
   virtual ~LeaseSizing() = default;
-  /// \param wished units that the entry asks to hold for future requests.
+  /// \param desired units that the entry asks to hold for future requests.
   /// \param level units that the bucket has left after the current needs.
   /// \returns the units to grant, not above \p level.
-  virtual double advance(const AllotmentBucket &bucket, double wished,
+  virtual double advance(const AllotmentBucket &bucket, double desired,
                          double level) const = 0;
 };
 
@@ -25,7 +25,7 @@
 /// request. No entry ever holds units that it doesn't need.
 class OnDemandLeases : public LeaseSizing {
 public:
-  double advance(const AllotmentBucket &bucket, double wished,
+  double advance(const AllotmentBucket &bucket, double desired,
                  double level) const override;
 };
 
@@ -37,7 +37,7 @@
 /// Near the limit, the entry asks the ledger for each request.
 class UsageBasedLeases : public LeaseSizing {
 public:
-  double advance(const AllotmentBucket &bucket, double wished,
+  double advance(const AllotmentBucket &bucket, double desired,
                  double level) const override;
 };
 
--- a/packages/forward/pimentofront/Forward.h
+++ b/packages/forward/pimentofront/Forward.h
@@ -4,7 +4,7 @@
 /// \defgroup Forward Forward
 /// An entry's decisions about requests that it forwards unchanged: to which
 /// service and backend server, when to send once more, when to give up, and
-/// what the caller is answered. No I/O: the node reports what callers, agents
+/// which answer the caller gets. No I/O: the node reports what callers, agents
 /// and backend servers did, and executes the commands that the controller
 /// issues. Use it in front of backend servers that speak HTTP; for calls of
 /// this project's own interface there is EntryController.
--- a/packages/forward/pimentofront/src/Forward/AccountController.h
+++ b/packages/forward/pimentofront/src/Forward/AccountController.h
@@ -51,8 +51,8 @@
   /// The request ends; units that weren't spent become available again.
   void onFinished(TimePoint now, ForwardRequest &request);
 
-  /// \returns whether the copy of the configuration is certainly the newest,
-  /// except for changes made within its lease.
+  /// \returns whether no newer configuration can have been in force for longer
+  /// than the confirmation lease, and the newest known one can be read here.
   bool knowsNewest(TimePoint now) const;
   /// \returns whether requests with keys can be served for a while longer.
   bool ready(TimePoint now) const;
--- a/packages/forward/pimentofront/src/Forward/AttemptController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.cpp
@@ -163,8 +163,8 @@
   const TimePoint earliest =
       nextChanceOf(*std::ranges::min_element(paced, {}, nextChanceOf));
   request.LastRefusal = RefusalReason::RateLimited;
-  // Each server grants one permit at a time, so no more requests than servers
-  // are deferred for permits.
+  // The leader grants this entry one permit at a time for each server, so no
+  // more requests than servers are deferred for permits.
   const auto deferred =
       std::ranges::count_if(Board.Deferred, [&](const auto key) {
         return Board.Requests.at(key).Service == request.Service;
--- a/packages/forward/pimentofront/src/Forward/AttemptController.h
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.h
@@ -40,8 +40,8 @@
   /// The set of evacuated zones has changed: requests that wait for agents in
   /// an evacuated zone are sent elsewhere.
   void onZonesChanged(TimePoint now);
-  /// The agent of the current attempt hasn't answered in time: tries another
-  /// one.
+  /// The agent of the current attempt hasn't answered in time, or the link to
+  /// it is lost: tries another one.
   void skipAgent(TimePoint now, ForwardRequest &request);
 
   /// The server didn't run the request; \p outcome says why.
@@ -113,8 +113,9 @@
   ForwardRequest *find(const AttemptId &attempt, const HostName &agent);
   /// \returns whether its route's limit of servers allows another one.
   static bool hasServersLeft(const ForwardRequest &request);
-  /// \returns whether the request is for an engine and no agent refused it for
-  /// being overloaded: those that refused it are out of service.
+  /// \returns whether the request is for an engine and every agent that has
+  /// refused it is out of service (down or leaving). Overload and the other
+  /// reasons for a refusal don't count as an outage.
   bool isOutage(const ForwardRequest &request) const;
 
   ForwardBoard &Board;
--- a/packages/forward/pimentofront/src/Forward/ForwardController.cpp
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.cpp
@@ -220,8 +220,9 @@
 
 void ForwardController::onServerChecked(TimePoint now,
                                         const ServerProcess &server,
-                                        ServerCheckResult life) {
-  for (const std::uint64_t key : Quarantine.onServerChecked(now, server, life))
+                                        ServerCheckResult checkResult) {
+  for (const std::uint64_t key :
+       Quarantine.onServerChecked(now, server, checkResult))
     Attempts.retryOrGiveUp(now, Board.Requests.at(key));
 }
 
--- a/packages/forward/pimentofront/src/Forward/ForwardController.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.h
@@ -74,7 +74,7 @@
                   const std::optional<CommandOutcome> &outcome);
   /// A server whose answer had broken off has been checked.
   void onServerChecked(TimePoint now, const ServerProcess &server,
-                       ServerCheckResult life);
+                       ServerCheckResult checkResult);
 
   AttemptController &attempts() { return Attempts; }
   AnswerController &answers() { return Answers; }
@@ -92,10 +92,10 @@
   void admit(TimePoint now, ForwardRequest &request);
   /// \returns whether the request has waited for its units for too long.
   bool isChargeOverdue(TimePoint now, const ForwardRequest &request) const;
-  /// Defers a request whose route can't be determined yet: no configuration is
-  /// known, or it isn't known to be the newest.
+  /// Defers a request whose route or client account can't be determined yet: no
+  /// configuration is known, or it isn't known to be the newest.
   void deferUnresolved(TimePoint now, ForwardRequest &request);
-  /// Tries deferred requests again that are due.
+  /// Tries the deferred requests again whose retry is due.
   void retryDeferred(TimePoint now);
   /// \returns whether the agent's answer is overdue.
   bool isAgentOverdue(TimePoint now, const ForwardRequest &request) const;
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
@@ -141,16 +141,17 @@
 }
 
 std::vector<std::uint64_t> QuarantineController::onServerChecked(
-    TimePoint now, const ServerProcess &server, ServerCheckResult life) {
+    TimePoint now, const ServerProcess &server, ServerCheckResult checkResult) {
   const auto check = Checks.extract(server);
   if (!check)
     return {};
-  const std::vector<InFlightRequest> &atWork = check.mapped().RequestsInFlight;
-  if (life == ServerCheckResult::Exited) {
+  const std::vector<InFlightRequest> &inFlight =
+      check.mapped().RequestsInFlight;
+  if (checkResult == ServerCheckResult::Exited) {
     startSettling(now, server, check.mapped());
-    reportServerExit(now, server, atWork);
+    reportServerExit(now, server, inFlight);
   } else
-    endTrials(atWork, life);
+    endTrials(inFlight, checkResult);
   std::vector<std::uint64_t> waiting;
   for (const std::uint64_t key : check.mapped().Waiting) {
     const auto it = Board.Requests.find(key);
@@ -186,10 +187,11 @@
   return settled;
 }
 
-void QuarantineController::endTrials(const std::vector<InFlightRequest> &atWork,
-                                     ServerCheckResult life) {
-  const bool survived = life == ServerCheckResult::StillRunning;
-  for (const InFlightRequest &it : atWork) {
+void QuarantineController::endTrials(
+    const std::vector<InFlightRequest> &inFlight,
+    ServerCheckResult checkResult) {
+  const bool survived = checkResult == ServerCheckResult::StillRunning;
+  for (const InFlightRequest &it : inFlight) {
     if (it.Holder == AttemptId())
       continue;
     if (survived)
@@ -201,9 +203,9 @@
 
 void QuarantineController::reportServerExit(
     TimePoint now, const ServerProcess &server,
-    const std::vector<InFlightRequest> &atWork) {
+    const std::vector<InFlightRequest> &inFlight) {
   std::vector<ContentHash> contents;
-  for (const InFlightRequest &it : atWork) {
+  for (const InFlightRequest &it : inFlight) {
     contents.push_back(it.Content);
     Board.Quarantine.watch(it.Content);
   }
@@ -212,9 +214,9 @@
                           .Server = server.Name,
                           .Detail = "new connections are refused; requests of "
                                     "this entry in flight there: " +
-                                    std::to_string(atWork.size())});
+                                    std::to_string(inFlight.size())});
   const std::uint64_t nonce =
-      ask(ReportServerExit{server, atWork}, Board.Options.ReportTimeout);
+      ask(ReportServerExit{server, inFlight}, Board.Options.ReportTimeout);
   Reports[nonce] = std::move(contents);
 }
 
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.h
@@ -58,7 +58,7 @@
   /// \returns the keys of the requests that waited for this check.
   std::vector<std::uint64_t> onServerChecked(TimePoint now,
                                              const ServerProcess &server,
-                                             ServerCheckResult life);
+                                             ServerCheckResult checkResult);
   /// \returns the keys of the requests that may ask the replicas now.
   std::vector<std::uint64_t> takeSettled(TimePoint now);
   /// A server ran the request and its process still runs.
@@ -83,11 +83,11 @@
   std::uint64_t ask(CommandBody body, Duration giveUpAfter);
   void endTrial(const ContentHash &content, const AttemptId &holder,
                 TrialEnding ending);
-  /// Releases the trial grants that some of \p atWork held.
-  void endTrials(const std::vector<InFlightRequest> &atWork,
-                 ServerCheckResult life);
+  /// Releases the trial grants that some of \p inFlight held.
+  void endTrials(const std::vector<InFlightRequest> &inFlight,
+                 ServerCheckResult checkResult);
   void reportServerExit(TimePoint now, const ServerProcess &server,
-                        const std::vector<InFlightRequest> &atWork);
+                        const std::vector<InFlightRequest> &inFlight);
 
   ForwardBoard &Board;
   std::map<ServerProcess, Check> Checks;
--- a/packages/forward/pimentofront/src/Forward/QuarantineSet.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineSet.h
@@ -28,8 +28,8 @@
 private:
   std::unordered_map<ContentHash, QuarantineState> Known;
   /// Requests that this entry watches by its own observation, until an update
-  /// of at least this version arrives from the ledger; nothing while the report
-  /// is in flight.
+  /// of at least this version arrives from the ledger. The version is empty
+  /// while the report is in flight.
   std::unordered_map<ContentHash, std::optional<std::uint64_t>> Observed;
 };
 
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -145,7 +145,7 @@
 }
 
 double ServerSet::scoreOf(TimePoint now, const ServerView &server,
-                          double siblingFailures) const {
+                          double meanFailures) const {
   const double slots = std::max(server.Record.Slots, 1U);
   std::uint32_t busy = server.InFlight;
   if (now < server.LoadReportedAt + Options.LoadLifetime)
@@ -154,7 +154,7 @@
   if (server.Record.Zone != Options.Zone)
     score += Options.ZonePreference;
   score += Options.FailurePenalty *
-           std::max(server.FailureShare - siblingFailures, 0.0);
+           std::max(server.FailureShare - meanFailures, 0.0);
   return score;
 }
 
@@ -312,9 +312,9 @@
   const double mean = meanFailureShare(server.Record.Services.front());
   if (server.FailureShare < mean + Options.EjectThreshold)
     return;
-  const auto suspended = std::ranges::count_if(
+  const auto ejectedCount = std::ranges::count_if(
       Agents, [&](const auto &it) { return it.second.EjectedUntil > now; });
-  if (static_cast<double>(suspended) >=
+  if (static_cast<double>(ejectedCount) >=
       Options.MaxEjectedShare * static_cast<double>(Agents.size()))
     return;
   Agents[agent->first].EjectedUntil = now + Options.EjectTime;
--- a/packages/forward/pimentofront/src/Forward/ServerSet.h
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.h
@@ -88,8 +88,8 @@
   /// whose share is higher by a third is chosen last.
   double FailurePenalty = 3;
   ConnectionShareOptions Connections;
-  /// Number of entries assumed until it is known. Connections to a server, and
-  /// sends to a second server, are divided among them.
+  /// Number of entries to assume until it is known. The connections to a server
+  /// and the budget of sends to a second server are divided among them.
   std::uint32_t PresumedEntries = 10;
 };
 
@@ -103,9 +103,9 @@
       : Options(options), Entries(options.PresumedEntries) {}
 
   void apply(TimePoint now, const MemberUpdate &update);
-  /// Sends no requests to servers in \p zones from now on. Servers in zones
-  /// that are no longer evacuated count as cold, since they may have become
-  /// cold while they received no requests.
+  /// Takes the servers in \p zones out of use, so that they get no requests.
+  /// Servers in zones that are no longer evacuated count as cold, since they
+  /// may have become cold while they received no requests.
   void setEvacuated(TimePoint now, std::set<ZoneName> zones);
   const std::set<ZoneName> &evacuatedZones() const { return Evacuated; }
   bool isEvacuated(const ZoneName &zone) const {
@@ -208,7 +208,7 @@
   void removeOthersAtAddress(const MemberRecord &record);
   void matchAgentsToServers();
   double scoreOf(TimePoint now, const ServerView &server,
-                 double siblingFailures) const;
+                 double meanFailures) const;
   double meanFailureShare(const ServiceName &service) const;
   /// Ejects an engine that fails more often than the others of its service.
   void ejectIfFailing(TimePoint now, ServerView &server);
--- a/test/AllotmentTest.cpp
+++ b/test/AllotmentTest.cpp
@@ -237,15 +237,15 @@
   double maxInWindow(Duration window) {
     std::ranges::sort(Runs);
     double sum = 0;
-    double most = 0;
+    double maxUnits = 0;
     std::size_t first = 0;
     for (const auto &[at, units] : Runs) {
       sum += units;
       while (Runs[first].first < at - window)
         sum -= Runs[first++].second;
-      most = std::max(most, sum);
+      maxUnits = std::max(maxUnits, sum);
     }
-    return most;
+    return maxUnits;
   }
   const FleetOptions &options() const { return Options; }
   Random &draw() { return Draw; }
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -122,18 +122,19 @@
 TEST_CASE("all entries together stay within a server's connection cap") {
   const ConnectionShare share;
   for (const std::uint32_t entries : {1U, 4U, 21U, 36U}) {
-    const std::uint32_t part = share.part(Now, Cap, entries, Options).Open;
-    INFO(entries << " entries, " << part << " connections each");
-    CHECK(part * entries <= Cap);
-    CHECK(part >= 1);
+    const std::uint32_t openLimit = share.part(Now, Cap, entries, Options).Open;
+    INFO(entries << " entries, " << openLimit << " connections each");
+    CHECK(openLimit * entries <= Cap);
+    CHECK(openLimit >= 1);
   }
   CHECK(share.part(Now, 0, 4, Options) == ConnectionLimits());
 }
 
 TEST_CASE("entries whose share is below one connection keep none idle") {
-  const ConnectionLimits part = ConnectionShare().part(Now, Cap, 400, Options);
-  CHECK(part.Open == Options.MinOpen);
-  CHECK(part.Kept == 0);
+  const ConnectionLimits limits =
+      ConnectionShare().part(Now, Cap, 400, Options);
+  CHECK(limits.Open == Options.MinOpen);
+  CHECK(limits.Kept == 0);
 }
 
 TEST_CASE("a rejected connection reduces the entry's share for a while") {
@@ -171,9 +172,9 @@
 TEST_CASE("a burst opens no more connections than the entry's shares at all "
           "servers") {
   ServerSet set = serversAmong(4);
-  const std::uint32_t part =
+  const std::uint32_t openLimit =
       set.connections(Now, *set.find(HostName("near"))).Open;
-  CHECK(admitted(set, Now) == 2 * part);
+  CHECK(admitted(set, Now) == 2 * openLimit);
   SECTION("a server that has answered a request gets another one") {
     set.recordOutcome(Now, {HostName("far")}, ServerOutcome::Answered);
     CHECK(set.choose(Now, Book, {}, {})->Record.Host == HostName("far"));
@@ -187,10 +188,10 @@
 
 TEST_CASE("a server that rejects a connection gets fewer connections at once") {
   ServerSet set = serversAmong(4);
-  const std::uint32_t part =
+  const std::uint32_t openLimit =
       set.connections(Now, *set.find(HostName("near"))).Open;
   set.recordRejection(Now, {HostName("near")});
-  CHECK(admitted(set, Now) == part + part / 2);
+  CHECK(admitted(set, Now) == openLimit + openLimit / 2);
 }
 
 //===----------------------------------------------------------------------===//
@@ -265,15 +266,15 @@
   HostPort nobody = PoolUnderTest::ownAddress();
   ++nobody.Port;
   const auto probeAt = [&](const HostPort &at) {
-    std::optional<ServerCheckResult> life;
+    std::optional<ServerCheckResult> checkResult;
     probe.start(at.Ip + ":" + std::to_string(at.Port),
                 [&](ServerCheckResult found) {
-                  life = found;
+                  checkResult = found;
                   it.Loop.stop();
                 });
-    CHECK_FALSE(life); // The callback is never run inside start().
+    CHECK_FALSE(checkResult); // The callback is never run inside start().
     it.Loop.run();
-    return life;
+    return checkResult;
   };
   CHECK(probeAt(PoolUnderTest::ownAddress()) ==
         ServerCheckResult::StillRunning);
--- a/test/ForwardTest.cpp
+++ b/test/ForwardTest.cpp
@@ -14,7 +14,7 @@
   it.body(sent, "ab");
   it.body(sent, "cd");
   CHECK(it.take<ReplyComplete>().empty());
-  it.end(sent, Whole);
+  it.end(sent, Completed);
   const auto reply = it.only<ReplyComplete>();
   CHECK(reply.Head.Status == 201);
   CHECK(reply.Body == "abcd");
@@ -30,11 +30,11 @@
   CHECK(it.head(sent, 200, {{"id", "r0"}, {"stamp", "s"}}) ==
         HeadDecision::Skip);
   CHECK(it.head(sent, 200) == HeadDecision::Take);
-  it.end(sent, Whole);
+  it.end(sent, Completed);
   CHECK(it.only<ReplyComplete>().Head.Status == 200);
 }
 
-TEST_CASE("a non-idempotent request is never sent to a second server") {
+TEST_CASE("a non-idempotent request that may have run is never sent again") {
   ForwardUnderTest it;
   SECTION("the answer broke off") {
     it.request("once");
@@ -42,14 +42,14 @@
     CHECK(sent.Once);
     it.head(sent, 200);
     it.body(sent, "half");
-    it.end(sent, Broke);
+    it.end(sent, BrokenOff);
     CHECK(it.only<ReplyComplete>().Head.Status == 502);
   }
   SECTION("the server ran it and failed") {
     it.request("once");
     const auto sent = it.only<SendUpstream>();
     it.head(sent, 500);
-    it.end(sent, Whole);
+    it.end(sent, Completed);
     CHECK(it.only<ReplyComplete>().Head.Status == 500);
   }
   SECTION("an answer without the server's stamp is invalid") {
@@ -69,6 +69,8 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
+// A 503 of the entry itself guarantees that the request has not run. One that
+// may have run gets another status, as in the test above.
 TEST_CASE("a request that the server did not run is refused with 503 and a "
           "retry-after") {
   ForwardUnderTest it;
@@ -152,7 +154,7 @@
   const auto second = it.only<SendUpstream>();
   CHECK(first.Address != second.Address);
   it.head(second, 200);
-  it.end(second, Whole);
+  it.end(second, Completed);
   CHECK(it.only<ReplyComplete>().Head.Status == 200);
 }
 
@@ -165,12 +167,12 @@
   CHECK(first.Address != second.Address);
   SECTION("that answers") {
     it.head(second, 200);
-    it.end(second, Whole);
+    it.end(second, Completed);
     CHECK(it.only<ReplyComplete>().Head.Status == 200);
   }
   SECTION("that fails, too") {
     it.head(second, 500);
-    it.end(second, Whole);
+    it.end(second, Completed);
     CHECK(it.only<ReplyComplete>().Head.Status == 500);
   }
   CHECK(it.take<SendUpstream>().empty());
@@ -189,7 +191,7 @@
     again += static_cast<int>(second.size());
     const auto &last = second.empty() ? sent : second.front();
     it.head(last, 500);
-    it.end(last, Whole);
+    it.end(last, Completed);
     CHECK(it.take<ReplyComplete>().size() == 1);
   }
   CHECK(again >= Requests / 10);
@@ -206,8 +208,8 @@
   };
   budget.setReserve(10);
   CHECK(left() == 10);
-  // A reserve that shrinks and grows again adds only the difference to what is
-  // left.
+  // When entries join, each one's reserve shrinks, and it grows again when they
+  // leave. Retries that were spent stay spent: growth adds only the difference.
   budget.setReserve(10);
   CHECK(left() == 0);
   budget.setReserve(4);
@@ -247,7 +249,7 @@
   // The agent is notified at once that its engine has begun.
   CHECK(std::get<AttemptBegan>(it.only<SendToAgent>().Content).Attempt ==
         first.Attempt);
-  it.end(first, Broke);
+  it.end(first, BrokenOff);
   const auto release = it.take<SendToAgent>();
   REQUIRE(release.size() == 2);
   CHECK(std::get<AttemptReleased>(release[0].Content).Kind ==
@@ -261,7 +263,7 @@
   it.head(second, 200);
   it.body(second, "id: 2\ndata: b\n\n");
   CHECK(it.only<ReplyPiece>().Bytes == "id: 2\ndata: b\n\n");
-  it.end(second, Whole);
+  it.end(second, Completed);
   CHECK(it.take<ReplyEnd>().size() == 1);
   CHECK(it.take<ReplyHead>().empty());
 }
@@ -272,7 +274,7 @@
   const auto sent = it.permit();
   it.head(sent, 200);
   it.body(sent, "id: 1\ndata: a\n\n");
-  it.end(sent, Broke);
+  it.end(sent, BrokenOff);
   CHECK(it.take<ReplyAbort>().size() == 1);
   CHECK(it.take<ReplyEnd>().empty());
   CHECK(it.take<SendUpstream>().empty());
@@ -317,8 +319,8 @@
   SECTION(
       "no routing document, and the maximum of requests is deferred already") {
     it.Controller.setTable(nullptr);
-    const std::size_t most = ForwardOptions{}.MaxDeferred;
-    for (std::uint64_t key = 2; key < most + 2; ++key)
+    const std::size_t maxDeferred = ForwardOptions{}.MaxDeferred;
+    for (std::uint64_t key = 2; key < maxDeferred + 2; ++key)
       it.Controller.onRequest(
           Now, key, {"GET", "/safe/", {{"id", "r"}, {"time", "5000"}}}, "",
           NoBody);
@@ -414,11 +416,11 @@
     it.take<SendToAgent>();
     if (sent.Address == address || address.empty()) {
       it.head(sent, 500);
-      it.end(sent, Whole);
+      it.end(sent, Completed);
     } else {
       it.head(sent, 200);
       it.body(sent, "id: 1\ndata: a\n\n");
-      it.end(sent, Whole);
+      it.end(sent, Completed);
     }
     it.take<SendToAgent>();
     it.take<ReplyComplete>();
@@ -508,7 +510,7 @@
   CHECK(view->InFlight == 0);
   // The end of the former process's request doesn't count for the new process.
   it.Controller.onMembers(Now, {.Members = {startedAt(view->Record, 8)}});
-  it.end(first, Broke);
+  it.end(first, BrokenOff);
   CHECK(view->InFlight == 0);
   CHECK(view->FailureShare == 0);
 }
--- a/test/ForwardUnderTest.h
+++ b/test/ForwardUnderTest.h
@@ -156,12 +156,13 @@
   void body(const SendUpstream &sent, std::string_view bytes) {
     Controller.answers().onBody(Now, sent.Attempt, bytes);
   }
-  /// Ends the connection, and reports \p life when the entry checks the server.
+  /// Ends the connection, and reports \p checkResult when the entry checks the
+  /// server.
   void end(const SendUpstream &sent, UpstreamEnding ending,
-           ServerCheckResult life = ServerCheckResult::StillRunning) {
+           ServerCheckResult checkResult = ServerCheckResult::StillRunning) {
     Controller.answers().onEnd(Now, sent.Attempt, ending);
     for (const CheckServer &it : take<CheckServer>())
-      Controller.onServerChecked(Now, it.Server, life);
+      Controller.onServerChecked(Now, it.Server, checkResult);
   }
 
   FakeConfiguration Configuration;
@@ -171,8 +172,8 @@
   std::vector<ForwardCommand> Commands;
 };
 
-constexpr auto Whole = UpstreamEnding::Complete;
-constexpr auto Broke = UpstreamEnding::BrokeOff;
+constexpr auto Completed = UpstreamEnding::Complete;
+constexpr auto BrokenOff = UpstreamEnding::BrokeOff;
 constexpr auto NotSent = UpstreamEnding::NotSent;
 
 } // namespace pimentofront::testing
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -50,7 +50,7 @@
   QuarantineEntry it;
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
-  it.Controller.answers().onEnd(Now, sent.Attempt, Broke);
+  it.Controller.answers().onEnd(Now, sent.Attempt, BrokenOff);
   const auto check = it.only<CheckServer>();
   CHECK(check.Server == sent.Server);
   CHECK(check.Address == sent.Address);
@@ -76,17 +76,17 @@
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
   SECTION("the process runs, its connection was reset") {
-    it.end(sent, Broke, ServerCheckResult::StillRunning);
+    it.end(sent, BrokenOff, ServerCheckResult::StillRunning);
   }
   SECTION("no reply: a network partition, or a host without power") {
-    it.end(sent, Broke, ServerCheckResult::Unknown);
+    it.end(sent, BrokenOff, ServerCheckResult::Unknown);
   }
   SECTION("the server had announced that it is leaving") {
     MemberRecord leaving =
         server(sent.Server.Name.str().c_str(), "plain", sent.Address.c_str());
     leaving.Leaving = true;
     it.Controller.onMembers(Now, {.Members = {leaving}});
-    it.Controller.answers().onEnd(Now, sent.Attempt, Broke);
+    it.Controller.answers().onEnd(Now, sent.Attempt, BrokenOff);
     CHECK(it.take<CheckServer>().empty());
   }
   SECTION("the answer was invalid") {
@@ -97,7 +97,7 @@
   it.only<SendUpstream>();
 }
 
-TEST_CASE("a server that turned a connection away is checked, too") {
+TEST_CASE("a server that rejected a connection is checked, too") {
   QuarantineEntry it;
   it.request("safe");
   it.end(it.only<SendUpstream>(), UpstreamEnding::Rejected, Exited);
@@ -110,7 +110,7 @@
   it.request("once");
   const auto sent = it.only<SendUpstream>();
   const ContentHash content = it.contentOfRequest();
-  it.Controller.answers().onEnd(Now, sent.Attempt, Broke);
+  it.Controller.answers().onEnd(Now, sent.Attempt, BrokenOff);
   CHECK(it.only<ReplyComplete>().Head.Status == 502);
   it.Controller.onServerChecked(Now, it.only<CheckServer>().Server, Exited);
   const auto report = it.question<ReportServerExit>();
@@ -143,7 +143,7 @@
     it.decide(CommandResult::Accepted);
     const auto sent = it.only<SendUpstream>();
     it.head(sent, 200);
-    it.end(sent, Whole);
+    it.end(sent, Completed);
     CHECK(it.question<EndTrial>()->Ending == TrialEnding::Survived);
     it.request("safe");
     it.only<SendUpstream>();
@@ -155,7 +155,7 @@
   }
   SECTION("the server exits: the report releases the grant") {
     it.decide(CommandResult::Accepted);
-    it.end(it.only<SendUpstream>(), Broke, Exited);
+    it.end(it.only<SendUpstream>(), BrokenOff, Exited);
     CHECK(it.question<ReportServerExit>()->RequestsInFlight.front().Holder ==
           AttemptId{5, 1});
   }
@@ -205,7 +205,7 @@
   it.request("safe");
   REQUIRE(it.question<ClaimTrial>());
   it.decide(CommandResult::Accepted);
-  it.end(it.only<SendUpstream>(), Broke, Exited);
+  it.end(it.only<SendUpstream>(), BrokenOff, Exited);
   CHECK_FALSE(it.question<ClaimTrial>());
   it.Controller.tick(Now + 50ms);
   CHECK_FALSE(it.question<ClaimTrial>());
--- a/test/ServerFeedbackTest.cpp
+++ b/test/ServerFeedbackTest.cpp
@@ -103,13 +103,13 @@
   it.request("safe");
   const auto sent = it.only<SendUpstream>();
   it.head(sent, 200, {{"id", "r1"}, {"stamp", "s"}, {"limit", "1.5"}});
-  std::vector<ForwardEvent> told;
+  std::vector<ForwardEvent> reported;
   for (const ForwardEvent &event : it.Controller.takeEvents())
     if (std::string_view(event.Name) == "server_feedback")
-      told.push_back(event);
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].Detail.find("limit 1.5") != std::string::npos);
-  CHECK(told[0].Server == sent.Server.Name);
+      reported.push_back(event);
+  REQUIRE(reported.size() == 1);
+  CHECK(reported[0].Detail.find("limit 1.5") != std::string::npos);
+  CHECK(reported[0].Server == sent.Server.Name);
 }
 
 TEST_CASE(
@@ -165,7 +165,7 @@
       request("safe");
       const auto sent = only<SendUpstream>();
       head(sent, 200, {{"id", "r1"}, {"stamp", "s"}, {"limit", "1"}});
-      end(sent, Whole);
+      end(sent, Completed);
       take<ReplyComplete>();
     }
     request("safe");
@@ -191,9 +191,9 @@
   CHECK(it.take<SendUpstream>().empty());
 }
 
-TEST_CASE(
-    "a request is refused at once if no permit can come before its deadline",
-    "[feedback]") {
+TEST_CASE("a request is refused at once if no permit can come while it may be "
+          "deferred",
+          "[feedback]") {
   LimitedPlainServers it;
   for (const SendPermitQuery &query : it.Queries)
     it.Controller.onSendPermit(Now + 2ms,
@@ -211,14 +211,14 @@
   it.request("flow");
   const auto sent = it.permit();
   it.head(sent, 200, {{"id", "r1"}, {"stamp", "s"}, {"limit", "1.5"}});
-  const auto told = it.only<SendToAgent>();
-  const auto seen = std::get<RateLimitReport>(told.Content);
+  const auto reported = it.only<SendToAgent>();
+  const auto seen = std::get<RateLimitReport>(reported.Content);
   CHECK(seen.Limit == RateLimit{.Named = true, .PerThousandSeconds = 1500});
-  it.end(sent, Whole);
+  it.end(sent, Completed);
   it.take<SendToAgent>();
   // The next request carries the limit, too, for an agent that has started
   // since then.
-  const HostName agent = told.Host;
+  const HostName agent = reported.Host;
   it.Controller.onRequest(
       Now + 1s, 2,
       {"POST", "/flow/q", {{"Host", "h"}, {"id", "r2"}, {"time", "5000"}}}, "",
