--- a/packages/serving/pimentofront/src/Serving/AdaptiveLoads.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdaptiveLoads.cpp
@@ -19,7 +19,7 @@
 void AdaptiveLoads::onLoadEnded(TimePoint, AgentBoard &, const AdapterKey &,
                                 Duration took) {
   LoadsInProgress -= std::min(LoadsInProgress, 1U);
-  const std::optional<double> slowdown = Speed.record(took);
+  const std::optional<double> slowdown = Slowdown.record(took);
   if (!slowdown)
     return;
   const bool slow = *slowdown > Options.SlowFactor;
--- a/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
+++ b/packages/serving/pimentofront/src/Serving/AdaptiveLoads.h
@@ -19,7 +19,7 @@
   /// Jain, 1989).
   double Increase = 0.5;
   double Decrease = 0.5;
-  StoreSlowdownOptions Speed;
+  StoreSlowdownOptions Slowdown;
 };
 
 /// \class AdaptiveLoads
@@ -36,7 +36,8 @@
 class AdaptiveLoads : public LoadGate {
 public:
   explicit AdaptiveLoads(const AdaptiveLoadsOptions &options)
-      : Options(options), Limit(options.MaxConcurrent), Speed(options.Speed) {}
+      : Options(options), Limit(options.MaxConcurrent),
+        Slowdown(options.Slowdown) {}
 
   std::optional<AdapterKey> next(TimePoint now, AgentBoard &board,
                                  const std::vector<Demand> &demands) override;
@@ -49,7 +50,7 @@
   AdaptiveLoadsOptions Options;
   double Limit;
   std::uint32_t LoadsInProgress = 0;
-  StoreSlowdown Speed;
+  StoreSlowdown Slowdown;
 };
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -18,13 +18,13 @@
 } // namespace
 
 Duration AdmissionController::queueWait(TimePoint now) const {
-  const Duration pace = Board.Pacer.wait(now, Board.WaitingCount);
+  const Duration pacerWait = Board.Pacer.wait(now, Board.WaitingCount);
   const std::uint32_t capacity = std::max(Board.BatchCapacity, 1U);
   const std::size_t ahead = Board.runningOnEngine() + Board.WaitingCount;
   if (ahead < capacity)
-    return pace;
+    return pacerWait;
   const auto excess = static_cast<std::int64_t>(ahead - capacity + 1);
-  return std::max(pace, Board.ServiceTime * excess / capacity);
+  return std::max(pacerWait, Board.ServiceTime * excess / capacity);
 }
 
 bool AdmissionController::exceedsRateLimit(TimePoint now, std::size_t ahead,
@@ -100,9 +100,9 @@
 
 AdmissionController::Decision AdmissionController::evaluateMissing(
     TimePoint now, const ExecuteRequest &request, Duration firstEvent) const {
-  const auto failed = Board.LoadBackoffs.find(request.Key);
-  if (failed != Board.LoadBackoffs.end() && failed->second.Until > now)
-    return {RefusalReason::LoadFailed, failed->second.Until - now};
+  const auto backoff = Board.LoadBackoffs.find(request.Key);
+  if (backoff != Board.LoadBackoffs.end() && backoff->second.Until > now)
+    return {RefusalReason::LoadFailed, backoff->second.Until - now};
   const bool demanded = Board.Waiting.contains(request.Key);
   if (demanded)
     return {};
@@ -170,10 +170,11 @@
   const bool ready = Board.Slots.isReady(key);
   const bool loading = Board.Slots.isLoading(key);
   // Requests that end release both their place in the batch and their slot.
-  const Duration ends = ready || loading
-                            ? queueWait(now)
-                            : std::max(queueWait(now), slotWait(key));
-  return ends + (ready ? Duration::zero() : Board.LoadTimes.expected(key)) +
+  const Duration releaseWait = ready || loading
+                                   ? queueWait(now)
+                                   : std::max(queueWait(now), slotWait(key));
+  return releaseWait +
+         (ready ? Duration::zero() : Board.LoadTimes.expected(key)) +
          Board.Prefill.wait(now) +
          Board.Prefill.prefillTime(key, request.Parts) + engineDelay(now);
 }
@@ -238,8 +239,8 @@
                                     const ExecuteRequest &request) {
   const Decision decision = evaluate(now, request);
   const bool toEngine = request.Service.empty();
-  // A probe that is refused with `Busy` or `NotResident` is not yet demand for
-  // this host.
+  // After a conditional refusal (`Busy` or `NotResident`) another host may
+  // serve the request, so it is not yet demand for this host.
   if (toEngine && !isConditionalRefusal(decision.Reason))
     Board.Popularity.recordRequest(now, request.Key);
   if (decision.Reason != RefusalReason::None)
--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -108,8 +108,8 @@
   bool Delegated = false;
   TimePoint StartedAt;
   TimePoint Deadline;
-  /// When the first event was expected, and when its entry's report that it
-  /// came was received.
+  /// Time at which the first event is expected, and time at which the entry's
+  /// report of it was received; empty before that.
   TimePoint ExpectedAt;
   std::optional<TimePoint> BegunAt;
   std::uint64_t Tokens = 0;
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -206,10 +206,10 @@
     Board.EngineIdleSince = now;
     return;
   }
-  const Duration settle = Board.OwnsEngineProcess
-                              ? Duration::zero()
-                              : Board.Options.EngineSettleTime;
-  if (now < *Board.EngineIdleSince + settle)
+  const Duration settleTime = Board.OwnsEngineProcess
+                                  ? Duration::zero()
+                                  : Board.Options.EngineSettleTime;
+  if (now < *Board.EngineIdleSince + settleTime)
     return;
   Board.Slots.adopt(now, resident);
   for (const AdapterKey &it : resident)
@@ -235,8 +235,8 @@
 
 void AgentController::onEngineLost(TimePoint now) {
   Board.EngineIdleSince.reset();
-  // No order of another agent process can be in flight to the next engine
-  // process.
+  // The next engine process starts while this agent runs, so no earlier agent
+  // process has sent it orders.
   Board.OwnsEngineProcess = true;
   if (!Board.EngineReady)
     return;
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -54,8 +54,8 @@
   void onProcessChanged() { Board.Pacer.reset(); }
   /// An entry reports the engine's rate limit as an answer named it.
   void onRateLimitSeen(TimePoint now, const RateLimitReport &message);
-  /// The configuration names the engine's number of adapter slots and its batch
-  /// capacity.
+  /// The configuration names the engine's number of adapter slots, its batch
+  /// capacity, its cache size and its cold start.
   void onProfile(TimePoint now, const EngineProfile &profile);
   /// Updates the resident adapters while the engine is in use.
   void onResident(TimePoint now, const std::vector<AdapterKey> &resident);
--- a/packages/serving/pimentofront/src/Serving/EntryBoard.h
+++ b/packages/serving/pimentofront/src/Serving/EntryBoard.h
@@ -122,7 +122,9 @@
   /// Random number drawn at the start of the process.
   std::uint64_t Incarnation = 0;
   /// Time within which an agent has to admit or refuse an attempt. After it an
-  /// idempotent request goes to another host.
+  /// idempotent request is retried on another host, and the silent one is
+  /// ejected (see EjectionTime). A non-idempotent request waits until its
+  /// deadline.
   Duration AdmitTimeout = std::chrono::seconds(1);
   /// Maximum number of retries after host failures, for each request.
   std::uint32_t MaxRetries = 3;
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -209,26 +209,27 @@
   if (!route.OnlyIfResident)
     ++member.Load.Running;
   const CallerRequest &caller = request.Caller;
-  const auto done = static_cast<std::uint32_t>(request.DeliveredTokens);
-  Board.Commands.push_back(
-      SendToAgent{route.Host, member.Record.Address,
-                  ExecuteRequest{.Attempt = id,
-                                 .Request = caller.Id,
-                                 .Caller = caller.Caller,
-                                 .Kind = caller.Kind,
-                                 .Weight = request.Weight,
-                                 .Remaining = request.Deadline - now,
-                                 .Key = request.Key,
-                                 .BaseModel = request.BaseModel,
-                                 .Source = request.Source,
-                                 .Prompt = caller.Prompt,
-                                 .ResumeText = request.Delivered,
-                                 .MaxTokens = caller.MaxTokens -
-                                              std::min(done, caller.MaxTokens),
-                                 .Service = caller.Service,
-                                 .Method = caller.Method,
-                                 .Payload = caller.Payload,
-                                 .OnlyIfResident = route.OnlyIfResident}});
+  const auto generatedTokens =
+      static_cast<std::uint32_t>(request.DeliveredTokens);
+  Board.Commands.push_back(SendToAgent{
+      route.Host, member.Record.Address,
+      ExecuteRequest{.Attempt = id,
+                     .Request = caller.Id,
+                     .Caller = caller.Caller,
+                     .Kind = caller.Kind,
+                     .Weight = request.Weight,
+                     .Remaining = request.Deadline - now,
+                     .Key = request.Key,
+                     .BaseModel = request.BaseModel,
+                     .Source = request.Source,
+                     .Prompt = caller.Prompt,
+                     .ResumeText = request.Delivered,
+                     .MaxTokens = caller.MaxTokens -
+                                  std::min(generatedTokens, caller.MaxTokens),
+                     .Service = caller.Service,
+                     .Method = caller.Method,
+                     .Payload = caller.Payload,
+                     .OnlyIfResident = route.OnlyIfResident}});
 }
 
 void EntryController::finishUnroutable(EntryRequest &request) {
@@ -313,9 +314,10 @@
   request->Tried.push_back({host, message.Reason, message.Load, probe});
   // The scheduler orders the loads of all hosts, so another host would give the
   // same answer.
-  const bool last = message.Reason == RefusalReason::LoadBacklog;
-  const bool mayGoOn = !isHostFailure(message.Reason) || takeRetry(*request);
-  if (mayGoOn && !last)
+  const bool isFinal = message.Reason == RefusalReason::LoadBacklog;
+  const bool mayContinue =
+      !isHostFailure(message.Reason) || takeRetry(*request);
+  if (mayContinue && !isFinal)
     return nextAttempt(now, *request);
   finish(*request,
          {.Kind = request->MayHaveRun ? FinalKind::Failed : FinalKind::Refused,
@@ -331,7 +333,7 @@
     return;
   CurrentAttempt &attempt = *request->Attempt;
   if (message.Position != attempt.Tokens)
-    return attemptLost(now, *request, "a piece of the answer is missing");
+    return onAttemptLost(now, *request, "a piece of the answer is missing");
   attempt.Tokens += message.Tokens;
   Board.Commands.push_back(DeliverChunk{
       request->Caller.Key, request->DeliveredTokens, message.Text});
@@ -348,9 +350,9 @@
   const bool complete = message.Ending == AttemptEnding::Answered &&
                         message.Tokens == request->Attempt->Tokens;
   if (!complete)
-    return attemptLost(now, *request,
-                       message.Payload.empty() ? "the answer broke off"
-                                               : message.Payload);
+    return onAttemptLost(now, *request,
+                         message.Payload.empty() ? "the answer broke off"
+                                                 : message.Payload);
   dropAttempt(*request);
   finish(*request, {.Kind = FinalKind::Answered,
                     .Payload = message.Payload,
@@ -360,18 +362,18 @@
                     .LoadStall = message.LoadStall});
 }
 
-void EntryController::attemptLost(TimePoint now, EntryRequest &request,
-                                  const std::string &why) {
+void EntryController::onAttemptLost(TimePoint now, EntryRequest &request,
+                                    const std::string &why) {
   const HostName host = request.Attempt->Host;
   cancelAttempt(request);
   request.MayHaveRun = true;
   if (!request.Caller.Idempotent)
     return finish(request, unknown(why));
   request.Tried.push_back({host, RefusalReason::BackendDown, {}, false});
-  const std::uint32_t done =
+  const std::uint32_t generatedTokens =
       static_cast<std::uint32_t>(request.DeliveredTokens);
-  if (request.Caller.Service.empty() && done > 0 &&
-      done >= request.Caller.MaxTokens)
+  if (request.Caller.Service.empty() && generatedTokens > 0 &&
+      generatedTokens >= request.Caller.MaxTokens)
     return finish(request, {.Kind = FinalKind::Answered,
                             .Key = request.Key,
                             .Host = host,
@@ -410,11 +412,11 @@
 void EntryController::onLinkLost(TimePoint now, const HostName &host,
                                  bool wasOpen) {
   eject(now, host);
-  hostFailed(now, host, wasOpen);
+  onHostFailed(now, host, wasOpen);
 }
 
-void EntryController::hostFailed(TimePoint now, const HostName &host,
-                                 bool mayHaveRun) {
+void EntryController::onHostFailed(TimePoint now, const HostName &host,
+                                   bool mayHaveRun) {
   std::vector<RequestKey> keys;
   for (const auto &[key, request] : Board.Requests)
     if (request.Attempt && request.Attempt->Host == host)
@@ -423,7 +425,8 @@
   for (const RequestKey key : keys) {
     EntryRequest &request = Board.Requests.at(key);
     if (mayHaveRun) {
-      attemptLost(now, request, "the link to the backend server's host ended");
+      onAttemptLost(now, request,
+                    "the link to the backend server's host ended");
       continue;
     }
     const AttemptRefused notRun{.Attempt = request.Attempt->Id,
@@ -436,7 +439,7 @@
   if (update.Full)
     for (auto &[host, member] : Board.Members)
       member.Unconfirmed = true;
-  std::vector<HostName> gone;
+  std::vector<HostName> lostHosts;
   for (const MemberRecord &it : update.Members) {
     // A member that registered itself has no agent that accepts these requests.
     if (it.Registered)
@@ -445,7 +448,7 @@
     const bool restarted = member.Record.Incarnation != 0 &&
                            member.Record.Incarnation != it.Incarnation;
     if (restarted || it.Gone)
-      gone.push_back(it.Host);
+      lostHosts.push_back(it.Host);
     if (restarted)
       member = MemberView();
     member.Record = it;
@@ -456,9 +459,9 @@
   if (update.Complete)
     for (auto &[host, member] : Board.Members)
       if (member.Unconfirmed)
-        gone.push_back(host);
-  for (const HostName &it : gone)
-    hostFailed(now, it, true);
+        lostHosts.push_back(host);
+  for (const HostName &it : lostHosts)
+    onHostFailed(now, it, true);
   std::erase_if(Board.Members, [&](const auto &it) {
     return it.second.Record.Gone || (update.Complete && it.second.Unconfirmed);
   });
@@ -564,7 +567,7 @@
       continue;
     }
     eject(now, request.Attempt->Host);
-    attemptLost(now, request, "the backend server's host didn't answer");
+    onAttemptLost(now, request, "the backend server's host didn't answer");
   }
 }
 
--- a/packages/serving/pimentofront/src/Serving/EntryController.h
+++ b/packages/serving/pimentofront/src/Serving/EntryController.h
@@ -34,11 +34,11 @@
   /// The link to an agent ended. If \p wasOpen is false, no message was ever
   /// delivered over it.
   void onLinkLost(TimePoint now, const HostName &host, bool wasOpen);
-  /// \p outcome is empty if the command wasn't decided by its `GiveUpAt`.
+  /// \p outcome is empty if the command wasn't decided by its `ProposeUntil`.
   void onDecision(TimePoint now, std::uint64_t nonce,
                   const std::optional<CommandOutcome> &outcome);
 
-  /// Updates the members; attempts on hosts that are gone are lost.
+  /// Updates the members; attempts on hosts that are gone count as lost.
   void onMembers(TimePoint now, const MemberUpdate &update);
   void onDrainsChanged();
 
@@ -70,10 +70,10 @@
   void dropAttempt(EntryRequest &request);
   void cancelAttempt(EntryRequest &request);
   /// The current attempt ended early and may have begun.
-  void attemptLost(TimePoint now, EntryRequest &request,
-                   const std::string &why);
+  void onAttemptLost(TimePoint now, EntryRequest &request,
+                     const std::string &why);
   void eject(TimePoint now, const HostName &host);
-  void hostFailed(TimePoint now, const HostName &host, bool mayHaveRun);
+  void onHostFailed(TimePoint now, const HostName &host, bool mayHaveRun);
   void finish(EntryRequest &request, FinalAnswer answer);
   void endClaim(const EntryRequest &request, const FinalAnswer &answer);
   void expire(TimePoint now, EntryRequest &request);
--- a/packages/serving/pimentofront/src/Serving/LoadController.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadController.cpp
@@ -111,13 +111,13 @@
 }
 
 void LoadController::onLoadFailed(TimePoint now, const AdapterKey &key) {
-  LoadBackoff &failed = Board.LoadBackoffs[key];
-  Duration pause = Board.Options.InitialLoadBackoff;
-  for (std::uint32_t i = 0; i < failed.ConsecutiveFailures; ++i)
-    pause = std::min(2 * pause, Board.Options.MaxLoadBackoff);
-  ++failed.ConsecutiveFailures;
-  failed.Until = now + Board.Jitter.jitter(pause);
-  Admission.refuseWaiting(key, RefusalReason::LoadFailed, failed.Until - now);
+  LoadBackoff &backoff = Board.LoadBackoffs[key];
+  Duration delay = Board.Options.InitialLoadBackoff;
+  for (std::uint32_t i = 0; i < backoff.ConsecutiveFailures; ++i)
+    delay = std::min(2 * delay, Board.Options.MaxLoadBackoff);
+  ++backoff.ConsecutiveFailures;
+  backoff.Until = now + Board.Jitter.jitter(delay);
+  Admission.refuseWaiting(key, RefusalReason::LoadFailed, backoff.Until - now);
 }
 
 } // namespace pimentofront
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.cpp
@@ -119,7 +119,7 @@
 
 void LoadScheduler::updateWindow(TimePoint now, const Outstanding &load,
                                  Duration took) {
-  const std::optional<double> slowdown = Speed.record(took);
+  const std::optional<double> slowdown = Slowdown.record(took);
   if (!slowdown)
     return;
   Window = std::max(Window, static_cast<double>(limit()));
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.h
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.h
@@ -122,7 +122,7 @@
   /// Receives some hundred loads a second from all hosts together, so its
   /// estimate ages less with each load than an agent's, and about as much over
   /// time.
-  StoreSlowdown Speed{{.Aging = 0.00002}};
+  StoreSlowdown Slowdown{{.Aging = 0.00002}};
   /// The learned limit of concurrent loads.
   double Window = 0;
   /// When the limit was last reduced. Slow loads that were issued before do not
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.h
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.h
@@ -52,9 +52,10 @@
   bool take(TimePoint now) {
     return reserve(now, Duration::zero()).has_value();
   }
-  /// Reserves a request that may be sent within \p ahead.
-  /// \returns the delay after which it may be sent; nothing if that is longer
-  /// than \p ahead.
+  /// Reserves the sending of a request, provided that it may be sent within
+  /// \p ahead.
+  /// \returns the delay after which it may be sent; nothing, and no
+  /// reservation, if that is longer than \p ahead.
   std::optional<Duration> reserve(TimePoint now, Duration ahead);
 
 private:
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.cpp
@@ -40,16 +40,16 @@
                                               const RouteQuery &query,
                                               const MemberViews &members) {
   std::vector<const MemberView *> healthy;
-  std::vector<const MemberView *> suspended;
+  std::vector<const MemberView *> ejected;
   for (const auto &[host, member] : members) {
     const MemberRecord &record = member.Record;
     if (record.Leaving || record.Gone || member.Drained ||
         member.BackoffUntil > now || !serves(member, query) ||
         !query.Zones.contains(record.Zone))
       continue;
-    (member.EjectedUntil > now ? suspended : healthy).push_back(&member);
+    (member.EjectedUntil > now ? ejected : healthy).push_back(&member);
   }
-  return healthy.empty() ? suspended : healthy;
+  return healthy.empty() ? ejected : healthy;
 }
 
 void orderByRendezvous(const AdapterKey &key, std::size_t n,
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
@@ -23,8 +23,8 @@
   /// other.
   TimePoint EjectedUntil;
   std::uint32_t Failures = 0;
-  /// Until then the server has asked this entry for no requests: nothing is
-  /// sent there, even if there is no other host.
+  /// The server has asked this entry to send no requests before this time. None
+  /// is sent, even if there is no other host.
   TimePoint BackoffUntil;
   /// An operator has drained the host or evacuated its zone.
   bool Drained = false;
--- a/packages/wire/pimentofront/src/Wire/AttemptMessages.h
+++ b/packages/wire/pimentofront/src/Wire/AttemptMessages.h
@@ -48,8 +48,9 @@
 };
 constexpr unsigned RefusalReasonCount = 17;
 
-/// \returns whether the attempt only asked whether the host can serve the
-/// request soon: the host could run it, but another one may be better.
+/// \returns whether the host refused only because of a condition of the attempt
+/// (the adapter is resident, the first event comes in time). The host could run
+/// the request, but another one may be better.
 constexpr bool isConditionalRefusal(RefusalReason reason) {
   return reason == RefusalReason::NotResident || reason == RefusalReason::Busy;
 }
@@ -226,7 +227,7 @@
 struct AttemptRefused {
   AttemptId Attempt;
   RefusalReason Reason = RefusalReason::None;
-  /// Retry-after. If the attempt only asked (see isConditionalRefusal()): how
+  /// Retry-after. For a conditional refusal (see isConditionalRefusal()): how
   /// long its first event would take.
   Duration RetryAfter = Duration::zero();
   AgentLoad Load;
--- a/packages/wire/pimentofront/src/Wire/ConsensusMessages.h
+++ b/packages/wire/pimentofront/src/Wire/ConsensusMessages.h
@@ -74,8 +74,8 @@
   Term CandidateTerm = 0;
   bool Granted = false;
   bool PreVote = false;
-  /// A probe was not granted only because this replica has just started and may
-  /// have acknowledged a leader's lease before that.
+  /// A pre-vote was not granted only because this replica has just started and
+  /// may have acknowledged a leader's lease before that.
   bool DeniedByRecentStart = false;
   PIMENTOFRONT_FIELDS(VoteReply, From, VoterTerm, CandidateTerm, Granted,
                       PreVote, DeniedByRecentStart)
--- a/packages/wire/pimentofront/src/Wire/ControlMessages.h
+++ b/packages/wire/pimentofront/src/Wire/ControlMessages.h
@@ -60,7 +60,8 @@
   AdapterKey Key;
   /// Sum of the weights of the waiting requests; 0 withdraws the demand.
   std::uint32_t WaitingWeight = 0;
-  /// Time until the first of them is late.
+  /// Time until the first of them misses its first-event target or has waited
+  /// for its adapter as long as it may.
   Duration Slack = Duration::zero();
   PIMENTOFRONT_FIELDS(LoadDemand, Host, Incarnation, Key, WaitingWeight, Slack)
 };
@@ -90,8 +91,8 @@
   PIMENTOFRONT_FIELDS(LoadQueueStatus, Key, Backlog)
 };
 
-/// Process to replica: subscribes to changes of configuration and members after
-/// the versions given.
+/// Process to replica: subscribes to changes after the given versions, of the
+/// configuration and, if wanted, of the members and the quarantine.
 struct Subscribe {
   HostName Host;
   Revision Known = 0;
--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -68,7 +68,7 @@
   'if (changedAt(it) <= Records.revision())' 'if (false)' \
   "a copy keeps its revision after older records and partial updates"
 guard "an engine is waited out before it is used" \
-  $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settle)' 'if (false)' \
+  $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settleTime)' 'if (false)' \
   "an agent that starts beside a running engine waits until the engine has settled"
 guard "a link that replicas don't own isn't used by them" \
   packages/node/pimentofront/src/Node/ReplicaNode.cpp \
--- a/test/AgentTest.cpp
+++ b/test/AgentTest.cpp
@@ -122,8 +122,9 @@
   CHECK(agent.board().Slots.isReady(held[0]));
 }
 
-TEST_CASE("a restarted engine holds no adapters and is used after the old load "
-          "orders have ended") {
+TEST_CASE(
+    "a restarted engine is used after the old load orders have ended, and "
+    "their failure causes no backoff") {
   Agent agent;
   agent.Controller.onExecute(Now, Entry, request(1, "a"));
   REQUIRE(agent.take<StartLoad>().size() == 1);
@@ -423,7 +424,7 @@
   sendRequest(Now, 1);
   agent.load(Now, "a");
   REQUIRE(agent.take<StartGeneration>().size() == 1);
-  SECTION("its entry is live and reported no beginning") {
+  SECTION("refused if the entry of the earlier request reported no beginning") {
     sendRequest(Now + 1s, 2);
     REQUIRE(agent.refusal());
     CHECK(agent.refusal()->Reason == RefusalReason::Busy);
@@ -516,9 +517,9 @@
 TEST_CASE("an agent that started after the limit was named learns it from the "
           "entries") {
   Agent agent = largeBatchAgent();
-  ExecuteRequest informed = request(1, "a");
-  informed.Limit = {.Named = true, .PerThousandSeconds = 1000, .Age = 7s};
-  agent.Controller.onExecute(Now, Entry, informed);
+  ExecuteRequest withLimit = request(1, "a");
+  withLimit.Limit = {.Named = true, .PerThousandSeconds = 1000, .Age = 7s};
+  agent.Controller.onExecute(Now, Entry, withLimit);
   agent.load(Now, "a");
   CHECK(agent.take<StartGeneration>().empty());
   CHECK(agent.Controller.rateLimit(Now).Named);
--- a/test/LoadGateTest.cpp
+++ b/test/LoadGateTest.cpp
@@ -29,7 +29,7 @@
   Tested Gate{{}};
 };
 
-struct GateUnderTest : GateWithBoard<AdaptiveLoads> {
+struct AdaptiveUnderTest : GateWithBoard<AdaptiveLoads> {
   void end(int n, Duration took) {
     for (int i = 0; i < n; ++i)
       Gate.onLoadEnded(Now, Board, key("a"), took);
@@ -39,14 +39,14 @@
 } // namespace
 
 TEST_CASE("the adapter that most requests wait for is loaded first") {
-  GateUnderTest it;
+  AdaptiveUnderTest it;
   CHECK(it.Gate.next(Now, it.Board, demands()) == key("c"));
   CHECK_FALSE(it.Gate.next(Now, it.Board, {}));
 }
 
 TEST_CASE(
     "fewer loads begin while the store is congested, and more afterwards") {
-  GateUnderTest it;
+  AdaptiveUnderTest it;
   CHECK(it.begin() == 4);
   it.end(4, 250ms);
   CHECK(it.begin() == 4);
@@ -60,7 +60,7 @@
 
 TEST_CASE("a load from the engine's copy does not count as a measurement of "
           "the store") {
-  GateUnderTest it;
+  AdaptiveUnderTest it;
   it.begin();
   it.end(4, 250ms);
   it.begin();
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("the limit adapts to a store that has become slower for good") {
-  GateUnderTest it;
+  AdaptiveUnderTest it;
   it.begin();
   it.end(4, 250ms);
   for (int i = 0; i < 400; ++i) {
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("an aborted load no longer counts towards the limit") {
-  GateUnderTest it;
+  AdaptiveUnderTest it;
   CHECK(it.begin() == 4);
   it.end(4, 0ms);
   CHECK(it.begin() == 4);
@@ -130,8 +130,8 @@
 namespace {
 
 /// An agent whose engine has just started; the test acts as the scheduler.
-struct SharedUnderTest : GateWithBoard<HybridLoads> {
-  SharedUnderTest() { Gate.onEngineReady(Now); }
+struct HybridUnderTest : GateWithBoard<HybridLoads> {
+  HybridUnderTest() { Gate.onEngineReady(Now); }
   int demandsSent() {
     int n = 0;
     for (const AgentCommand &it : std::exchange(Board.Commands, {})) {
@@ -145,7 +145,7 @@
 } // namespace
 
 TEST_CASE("an engine that has just started loads in the scheduler's order") {
-  SharedUnderTest it;
+  HybridUnderTest it;
   CHECK(it.begin(Now) == 0);
   CHECK(it.demandsSent() == 3);
   it.Gate.onTicket(Now + 5ms, it.Board, {1, key("a")});
@@ -154,7 +154,7 @@
 }
 
 TEST_CASE("while the scheduler is unavailable an agent uses its own limit") {
-  SharedUnderTest it;
+  HybridUnderTest it;
   CHECK(it.begin(Now) == 0);
   CHECK(it.begin(Now + 149ms) == 0);
   CHECK(it.begin(Now + 150ms) == 4);
@@ -163,8 +163,9 @@
 // Guards against issuing tickets by weight while the store is at its limit all
 // day: requests for adapters that few waited for were delayed until their
 // callers gave up.
-TEST_CASE("no tickets are requested later, not even while the store is slow") {
-  SharedUnderTest it;
+TEST_CASE("no tickets are requested long after the start, not even while the "
+          "store is slow") {
+  HybridUnderTest it;
   const TimePoint later = Now + 6s;
   CHECK(it.begin(later) == 4);
   CHECK(it.demandsSent() == 0);
@@ -176,7 +177,7 @@
 
 TEST_CASE(
     "loads begin without a ticket after eight seconds of waiting for one") {
-  SharedUnderTest it;
+  HybridUnderTest it;
   for (Duration at = 0s; at < 8s; at += 100ms) {
     // The scheduler is available, but issues its tickets to other agents.
     it.Gate.onStatus(Now + at, it.Board, {key("a")});
@@ -187,7 +188,7 @@
 }
 
 TEST_CASE("a copy that the engine has is loaded without a ticket") {
-  SharedUnderTest it;
+  HybridUnderTest it;
   it.Board.LoadTimes.onHeld(key("b"));
   CHECK(it.Gate.next(Now, it.Board, demands()) == key("b"));
   it.Gate.onLoadEnded(Now + 25ms, it.Board, key("b"), 25ms);
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -30,7 +30,7 @@
   return it ? it->Name : "-";
 }
 
-std::string faultsOf(const RoutingDocument &document) {
+std::string errorsOf(const RoutingDocument &document) {
   Findings findings;
   document.check(findings);
   return findings.toText();
@@ -67,19 +67,19 @@
 }
 
 TEST_CASE("all errors in a document are reported with their locations") {
-  CHECK(faultsOf(document()).empty());
+  CHECK(errorsOf(document()).empty());
   RoutingDocument bad = document();
   bad.Routes[0].Split = {{ServiceName("missing"), 1}};
   bad.Routes[1].Split = {{ServiceName("s"), 0}};
   bad.Routes[2].Timeout = 0s;
   bad.Routes[3] = bad.Routes[2];
-  const std::string faults = faultsOf(bad);
-  CHECK(faults.find("/routes/0/split: no service 'missing'") !=
+  const std::string errors = errorsOf(bad);
+  CHECK(errors.find("/routes/0/split: no service 'missing'") !=
         std::string::npos);
-  CHECK(faults.find("/routes/1/split: the weights add up to 0") !=
+  CHECK(errors.find("/routes/1/split: the weights add up to 0") !=
         std::string::npos);
-  CHECK(faults.find("/routes/2/timeout") != std::string::npos);
-  CHECK(faults.find("/routes/3/prefix: another route") != std::string::npos);
+  CHECK(errors.find("/routes/2/timeout") != std::string::npos);
+  CHECK(errors.find("/routes/3/prefix: another route") != std::string::npos);
 }
 
 TEST_CASE(
