--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -109,7 +109,8 @@
   bool Delegated = false;
   TimePoint StartedAt;
   TimePoint Deadline;
-  /// When the first event is expected.
+  /// Time at which the first event is expected, and time at which the entry's
+  /// report of it was received; empty before that.
   TimePoint ExpectedAt;
   /// When the entry's report of the first event was received.
   std::optional<TimePoint> BegunAt;
--- a/packages/serving/pimentofront/src/Serving/LoadScheduler.h
+++ b/packages/serving/pimentofront/src/Serving/LoadScheduler.h
@@ -121,9 +121,10 @@
   std::uint64_t LastTicket = 0;
   Duration LoadTime;
   TimePoint NextAllowed;
-  /// Records the loads of all hosts, some hundred per second, so its estimate
-  /// ages less per load than an agent's, and about as much per second.
-  StoreSlowdown Speed{{.Aging = 0.00002}};
+  /// Receives some hundred loads a second from all hosts together, so its
+  /// estimate ages less with each load than an agent's, and about as much over
+  /// time.
+  StoreSlowdown Slowdown{{.Aging = 0.00002}};
   /// The learned limit of concurrent loads.
   double Window = 0;
   /// When the limit was last reduced. Slow loads that were issued before do not
