--- a/packages/ctl/src/TimeLine.cpp
+++ b/packages/ctl/src/TimeLine.cpp
@@ -82,7 +82,8 @@
                           ? Json()
                           : Json::parse(content.substr(begin), nullptr, false);
     if (!json.is_object() || !json.contains("hlc")) {
-      findings.add(file + ":" + std::to_string(line), "this is no event");
+      findings.add(file + ":" + std::to_string(line),
+                   "expected a JSON object with the field \"hlc\"");
       continue;
     }
     Events.push_back({.Hlc = numberOf(json, "hlc"),
--- a/packages/ctl/src/TimeLine.h
+++ b/packages/ctl/src/TimeLine.h
@@ -29,7 +29,9 @@
 /// \brief Merges the events of all processes into one sequence.
 class TimeLine {
 public:
-  /// Adds the lines of one log. A line that is not an event adds a finding.
+  /// Adds the events of one log. A line without a JSON object that has the
+  /// field "hlc" adds a finding. Text before the object and empty lines are
+  /// ignored.
   void addLog(const std::string &file, std::string_view text,
               Findings &findings);
   /// Removes the events of all other requests. Events that belong to no request
--- a/test/TimeLineTest.cpp
+++ b/test/TimeLineTest.cpp
@@ -6,24 +6,25 @@
 using namespace pimentofront;
 
 TEST_CASE("events of all processes are merged into one order") {
-  TimeLine line;
+  TimeLine timeLine;
   Findings findings;
-  line.addLog("a",
-              R"({"hlc":3,"ms":1,"host":"a","event":"second","x":1})"
-              "\nnoise\n",
-              findings);
-  line.addLog("b",
-              R"({"hlc":2,"ms":1,"host":"b","event":"first",)"
-              R"("request":"<r>"})",
-              findings);
-  line.sort();
-  REQUIRE(line.events().size() == 2);
-  CHECK(line.events()[0].Event == "first");
-  CHECK(line.events()[1].Details == "x=1");
-  CHECK(findings.toText() == "a:2: this is no event\n");
-  CHECK(line.toHtml().find("&lt;r>") != std::string::npos);
-  line.removeOtherRequests("other");
-  CHECK(line.events().size() == 1);
+  timeLine.addLog("a",
+                  R"({"hlc":3,"ms":1,"host":"a","event":"second","x":1})"
+                  "\nnoise\n",
+                  findings);
+  timeLine.addLog("b",
+                  R"({"hlc":2,"ms":1,"host":"b","event":"first",)"
+                  R"("request":"<r>"})",
+                  findings);
+  timeLine.sort();
+  REQUIRE(timeLine.events().size() == 2);
+  CHECK(timeLine.events()[0].Event == "first");
+  CHECK(timeLine.events()[1].Details == "x=1");
+  CHECK(findings.toText() ==
+        "a:2: expected a JSON object with the field \"hlc\"\n");
+  CHECK(timeLine.toHtml().find("&lt;r>") != std::string::npos);
+  timeLine.removeOtherRequests("other");
+  CHECK(timeLine.events().size() == 1);
 }
 
 TEST_CASE(
@@ -38,25 +39,27 @@
 }
 
 TEST_CASE("a request's id leads to the cause of its failure") {
-  TimeLine line;
+  TimeLine timeLine;
   Findings findings;
-  line.addLog("collected",
-              "  12.5 host-1 {\"hlc\":2,\"host\":\"e\",\"event\":"
-              "\"request_lost\",\"request\":\"r1\","
-              "\"why\":\"declined, busy; servers sent to 0\"}\n"
-              "  12.4 host-1 {\"hlc\":1,\"host\":\"e\",\"event\":"
-              "\"agent_silent\",\"request\":\"r1\"}\n"
-              "cut off {\"hlc\":3,\n",
-              findings);
-  line.sort();
-  const std::string text = line.explain("r1");
+  timeLine.addLog("collected",
+                  "  12.5 host-1 {\"hlc\":2,\"host\":\"e\",\"event\":"
+                  "\"request_lost\",\"request\":\"r1\","
+                  "\"why\":\"declined, busy; servers sent to 0\"}\n"
+                  "  12.4 host-1 {\"hlc\":1,\"host\":\"e\",\"event\":"
+                  "\"agent_silent\",\"request\":\"r1\"}\n"
+                  "cut off {\"hlc\":3,\n",
+                  findings);
+  timeLine.sort();
+  const std::string text = timeLine.explain("r1");
   CHECK(text.find("agent_silent") < text.find("request_lost"));
   CHECK(text.find("=> refused: each server or agent") != std::string::npos);
-  CHECK(line.explain("r2").empty());
-  line.addLog("more",
-              R"({"hlc":5,"host":"e","event":"request_lost","request":"r3",)"
-              R"("why":"timed_out; agents that declined 0"})",
-              findings);
-  CHECK(line.explain("r3").find("=> its time ran out") != std::string::npos);
+  CHECK(timeLine.explain("r2").empty());
+  timeLine.addLog(
+      "more",
+      R"({"hlc":5,"host":"e","event":"request_lost","request":"r3",)"
+      R"("why":"timed_out; agents that declined 0"})",
+      findings);
+  CHECK(timeLine.explain("r3").find("=> its time ran out") !=
+        std::string::npos);
   CHECK(findings.items().size() == 1);
 }
