--- a/packages/consensus/pimentofront/src/Consensus/LogStore.h
+++ b/packages/consensus/pimentofront/src/Consensus/LogStore.h
@@ -84,7 +84,7 @@
   /// Replaces the stored snapshot and all stored entries.
   std::optional<LogSnapshot> Snapshot;
   /// Entries to append. If an entry with the first one's index exists, the log
-  /// is truncated from there before.
+  /// is first truncated from that index on.
   std::vector<LogEntry> Entries;
   bool empty() const { return !Vote && !Snapshot && Entries.empty(); }
 };
--- a/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
+++ b/packages/consensus/pimentofront/src/Consensus/ReplicatedLog.h
@@ -75,11 +75,11 @@
 ///   towards a quorum.
 /// - A replica that has just started grants no vote for an election timeout,
 ///   since it may have acknowledged a leader's lease before it restarted. The
-///   exception is an election before which all voters were in one term and knew
-///   no leader in it. After a power failure of all replicas nobody holds a
-///   lease any more, and waiting for its end would only cost the callers 0.6 s.
-///   A leader elected in the meantime has a higher term, which its voters have
-///   persisted.
+///   exception is an election whose pre-vote has shown that all voters are in
+///   one term and know no leader in it. After a power failure of all replicas
+///   nobody holds a lease any more, and waiting for its end would only cost the
+///   callers 0.6 s. A leader elected in the meantime has a higher term, which
+///   its voters have persisted.
 /// - A leader that hasn't received replies from a quorum within an election
 ///   timeout steps down.
 class ReplicatedLog {
--- a/packages/node/pimentofront/src/Node/AgentLinks.h
+++ b/packages/node/pimentofront/src/Node/AgentLinks.h
@@ -26,6 +26,7 @@
   /// Sends a message, and opens a link to the host if there is none. A message
   /// that only cancels or releases an attempt does not open a link: the agent
   /// drops an attempt when its link closes.
+  /// \returns whether a link was opened.
   bool send(TimePoint now, const SendToAgent &message);
   /// \returns the link, or null if it isn't a link to an agent.
   const AgentLink *find(LinkId link) const;
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -60,11 +60,11 @@
 }
 
 void EntryNode::onReplicaMessage(TimePoint now, const Message &message) {
-  const FeedUpdate news = Feed.onMessage(now, message);
-  if (news.DrainsChanged)
+  const FeedUpdate update = Feed.onMessage(now, message);
+  if (update.DrainsChanged)
     Controller.onDrainsChanged();
-  if (news.Members) {
-    Controller.onMembers(now, *news.Members);
+  if (update.Members) {
+    Controller.onMembers(now, *update.Members);
     dropStaleAgentLinks(now);
   }
   if (std::holds_alternative<ReplicaAddresses>(message))
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -6,9 +6,9 @@
 /// A leader answers a command within a few syncs of its disk. One that sends
 /// nothing for this time may be cut off, so another leader is looked for.
 constexpr Duration LeaderSilenceTimeout = std::chrono::milliseconds(500);
-/// A process that was not called for this time was suspended: it is called
-/// every few tens of milliseconds, and a busy host delays a call by some
-/// hundred.
+/// A process that was not called for this time was suspended: the daemon
+/// calls it every 20 ms, and a busy host delays a call by some hundred
+/// milliseconds.
 constexpr Duration SuspendGap = std::chrono::seconds(1);
 /// Shorter gaps between calls are normal and not reported as a stall.
 constexpr Duration StallGap = std::chrono::milliseconds(50);
@@ -88,19 +88,19 @@
 }
 
 void ForwardNode::onFeedMessage(TimePoint now, const Message &message) {
-  const FeedUpdate news = Feed.onMessage(now, message);
-  if (news.Quarantine)
-    Controller.quarantine().onUpdate(*news.Quarantine);
+  const FeedUpdate update = Feed.onMessage(now, message);
+  if (update.Quarantine)
+    Controller.quarantine().onUpdate(*update.Quarantine);
   if (Feed.quarantineKnownAsOf())
     Controller.quarantine().onCaughtUp(*Feed.quarantineKnownAsOf());
-  if (news.Members) {
-    Controller.onMembers(now, *news.Members);
+  if (update.Members) {
+    Controller.onMembers(now, *update.Members);
     dropLinks(now, Agents.staleLinks(Controller.board().Servers.agents()));
   }
-  if (news.DrainsChanged)
+  if (update.DrainsChanged)
     Controller.onEvacuatedZones(now, evacuatedZones());
-  if (news.Subscribers)
-    Controller.onEntryCount(now, *news.Subscribers);
+  if (update.Subscribers)
+    Controller.onEntryCount(now, *update.Subscribers);
   if (std::holds_alternative<ReplicaAddresses>(message)) {
     Leader.setAddresses(Feed.replicas());
     Ledger.setAddresses(Feed.replicas());
@@ -293,9 +293,9 @@
 }
 
 void ForwardNode::serverChecked(TimePoint now, const ServerProcess &server,
-                                ServerCheckResult life) {
+                                ServerCheckResult result) {
   detectPause(now);
-  Controller.onServerChecked(now, server, life);
+  Controller.onServerChecked(now, server, result);
   flush(now);
 }
 
--- a/packages/node/pimentofront/src/Node/ForwardNode.h
+++ b/packages/node/pimentofront/src/Node/ForwardNode.h
@@ -60,7 +60,7 @@
                    UpstreamEnding ending);
   /// Reports the result of a CheckServer command.
   void serverChecked(TimePoint now, const ServerProcess &server,
-                     ServerCheckResult life);
+                     ServerCheckResult result);
 
   /// \returns whether requests can be served now and for some time to come.
   bool ready(TimePoint now) {
--- a/packages/node/pimentofront/src/Node/LedgerKeeper.h
+++ b/packages/node/pimentofront/src/Node/LedgerKeeper.h
@@ -9,7 +9,8 @@
 /// \class LedgerKeeper
 /// \ingroup Node
 /// \brief Manages the allotment ledger of a leading replica: restarts it in a
-/// new term and updates it with the client accounts in force.
+/// new term, unless this replica has led in the term just before, and updates
+/// it with the client accounts in force.
 class LedgerKeeper {
 public:
   /// \param documents may be null: then no account has a known limit.
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -69,34 +69,34 @@
 
 FeedUpdate ReplicaFeed::onMessage(TimePoint now, const Message &message) {
   Replica.onReceived(now);
-  FeedUpdate news;
+  FeedUpdate update;
   if (const auto *it = std::get_if<ConfigurationUpdate>(&message)) {
-    news.DrainsChanged = Copy.apply(*it);
+    update.DrainsChanged = Copy.apply(*it);
     // The update is complete: reports the revision in force at once and has it
     // confirmed.
     if (!it->Partial) {
-      news.Configuration = true;
+      update.Configuration = true;
       probe(now);
     }
   } else if (const auto *reply = std::get_if<ProbeReply>(&message)) {
     Copy.onProbeReply(*reply);
-    news.Subscribers = reply->Subscribers;
+    update.Subscribers = reply->Subscribers;
     if (reply->Nonce == LastProbe.Nonce)
       LastProbe.RepliedVersion = reply->Quarantine;
     updateQuarantineKnownAsOf();
   } else if (const auto *members = std::get_if<MemberUpdate>(&message)) {
     if (Members.apply(*members))
-      news.Members = *members;
+      update.Members = *members;
     else
       subscribe(now);
   } else if (const auto *quarantine = std::get_if<QuarantineUpdate>(&message)) {
     Quarantine = std::max(Quarantine, quarantine->To);
-    news.Quarantine = *quarantine;
+    update.Quarantine = *quarantine;
     updateQuarantineKnownAsOf();
   } else if (const auto *replicas = std::get_if<ReplicaAddresses>(&message)) {
     Replica.setAddresses(replicas->Peers);
   }
-  return news;
+  return update;
 }
 
 void ReplicaFeed::tick(TimePoint now) {
--- a/packages/node/pimentofront/src/Node/ReplicaNode.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.cpp
@@ -50,7 +50,7 @@
   // Only links opened for replication are used. Links that other nodes of
   // either process opened are closed when those nodes no longer need them.
   const bool ours = std::ranges::any_of(
-      OpenedTo, [&](const auto &it) { return it.second == link; });
+      LinksByAddress, [&](const auto &it) { return it.second == link; });
   if (hello.Replica == 0 || (hello.Accepted && !ours))
     return;
   ReplicaLinks[hello.Replica] = link;
@@ -62,14 +62,15 @@
   Listeners.remove(link);
   std::erase_if(Probes, [&](const auto &it) { return it.Link == link; });
   std::erase_if(AgentLinks, [&](const auto &it) { return it.second == link; });
-  std::erase_if(OpenedTo, [&](const auto &it) { return it.second == link; });
+  std::erase_if(LinksByAddress,
+                [&](const auto &it) { return it.second == link; });
   const auto it = ReplicaOfLink.find(link);
   if (it == ReplicaOfLink.end())
     return;
   const ReplicaId replica = it->second;
   ReplicaOfLink.erase(it);
-  if (Followed == replica)
-    Followed = 0;
+  if (SubscribedLeader == replica)
+    SubscribedLeader = 0;
   if (ReplicaLinks[replica] == link)
     useOtherLink(replica);
   ReadInFlight = false;
@@ -103,11 +104,11 @@
   }
   if (to.Address.empty())
     return;
-  const auto opened = OpenedTo.find(to.Address);
-  if (opened != OpenedTo.end())
+  const auto opened = LinksByAddress.find(to.Address);
+  if (opened != LinksByAddress.end())
     return; // Still opening: the message is dropped, and the log repeats it.
   const LinkId link = Network.open(to.Address, LinkPurpose::Replication);
-  OpenedTo[to.Address] = link;
+  LinksByAddress[to.Address] = link;
   Network.send(link, message);
 }
 
@@ -138,10 +139,11 @@
     onReadIndexReply(*reply);
   else if (const auto *update = std::get_if<MemberUpdate>(&message)) {
     const auto sender = ReplicaOfLink.find(link);
-    const bool current = sender != ReplicaOfLink.end() && Followed != 0 &&
-                         sender->second == Followed;
+    const bool current = sender != ReplicaOfLink.end() &&
+                         SubscribedLeader != 0 &&
+                         sender->second == SubscribedLeader;
     if (current && !Members.apply(*update))
-      Followed = 0; // An update was missed: subscribe again.
+      SubscribedLeader = 0; // An update was missed: subscribe again.
   }
 }
 
@@ -182,7 +184,7 @@
     redirect(link);
     return true;
   }
-  recordTerm(now);
+  ensureTermStarted(now);
   if (announce) {
     Members.announce(now, announce->Member);
     answerLease(now, link, announce->Member.Host, true);
@@ -235,7 +237,7 @@
 void ReplicaNode::announce(TimePoint now, const MemberRecord &member,
                            std::uint64_t sequence) {
   assert(leads(now) && "only the leader maintains the member table");
-  recordTerm(now);
+  ensureTermStarted(now);
   Members.announce(now, member, sequence);
 }
 
@@ -264,7 +266,7 @@
   const Configuration *current = currentConfiguration(now);
   if (!current || !acceptsCommands())
     return false;
-  recordTerm(now);
+  ensureTermStarted(now);
   if (!isValidName(order.Zone.str())) {
     done(CommandOutcome{.Result = CommandResult::Invalid});
     return true;
@@ -333,7 +335,7 @@
   }
   reply.Status = status(now);
   if (leads(now)) {
-    recordTerm(now);
+    ensureTermStarted(now);
     reply.Status.Accounts = Allotments.status(now, State.configuration());
   }
   Network.send(link, reply);
@@ -455,7 +457,7 @@
   return done;
 }
 
-void ReplicaNode::recordTerm(TimePoint now) {
+void ReplicaNode::ensureTermStarted(TimePoint now) {
   Allotments.startLeading(now, Log.term());
   if (LedTerm == Log.term())
     return;
@@ -482,17 +484,17 @@
 
 /// A follower subscribes to the leader's members as other processes subscribe
 /// to a replica's.
-void ReplicaNode::followLeader(TimePoint) {
+void ReplicaNode::subscribeToLeader(TimePoint) {
   const ReplicaDescriptor *leader = Log.leader();
   if (!leader || leader->Id == Log.id())
     return;
-  if (Followed == leader->Id && FollowedTerm == Log.term())
+  if (SubscribedLeader == leader->Id && SubscribedTerm == Log.term())
     return;
   const auto link = ReplicaLinks.find(leader->Id);
   if (link == ReplicaLinks.end())
     return;
-  Followed = leader->Id;
-  FollowedTerm = Log.term();
+  SubscribedLeader = leader->Id;
+  SubscribedTerm = Log.term();
   Network.send(link->second, Subscribe{.Host = Options.Log.Host,
                                        .Known = MembersOnly,
                                        .KnownMembers = Members.version(),
@@ -513,9 +515,9 @@
   Allotments.recordTerm(now, Log.term());
   closeSilentLinks(now);
   join(now);
-  followLeader(now);
+  subscribeToLeader(now);
   if (leads(now)) {
-    recordTerm(now);
+    ensureTermStarted(now);
     for (const HostName &it : Members.expire(now))
       Loads.removeHost(it);
     issueTickets(now);
@@ -564,9 +566,9 @@
 void ReplicaNode::flush(TimePoint now) {
   while (true) {
     const LogActions actions = Log.takeActions();
-    const bool nothing = actions.Write.empty() && actions.Messages.empty() &&
-                         !actions.Restore && actions.Committed.empty();
-    if (nothing || Failure)
+    const bool noActions = actions.Write.empty() && actions.Messages.empty() &&
+                           !actions.Restore && actions.Committed.empty();
+    if (noActions || Failure)
       break;
     if (!actions.Write.empty()) {
       const auto written = Store.write(actions.Write);
--- a/packages/node/pimentofront/src/Node/ReplicaNode.h
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.h
@@ -142,8 +142,10 @@
   std::uint32_t allSubscribers(TimePoint now) const;
   void answerProbes();
   void requestReadIndex(TimePoint now);
-  void followLeader(TimePoint now);
-  void recordTerm(TimePoint now);
+  void subscribeToLeader(TimePoint now);
+  /// Prepares the state that only a leader holds, once in each term that this
+  /// replica leads.
+  void ensureTermStarted(TimePoint now);
   void applyEntry(TimePoint now, const LogEntry &entry);
   void compactIfDue();
   void issueTickets(TimePoint now);
@@ -173,7 +175,8 @@
 
   std::map<ReplicaId, LinkId> ReplicaLinks;
   std::map<LinkId, ReplicaId> ReplicaOfLink;
-  std::map<std::string, LinkId> OpenedTo;
+  /// Links that this replica opened to other ones.
+  std::map<std::string, LinkId> LinksByAddress;
   /// Detects links between replicas that no longer deliver messages.
   LinkWatch Watch;
   std::map<HostName, LinkId> AgentLinks;
@@ -186,8 +189,8 @@
   TimePoint ReadSentAt;
   /// Leader from which this follower receives the members, 0 if none, and the
   /// term in which it subscribed.
-  ReplicaId Followed = 0;
-  Term FollowedTerm = 0;
+  ReplicaId SubscribedLeader = 0;
+  Term SubscribedTerm = 0;
   Term LedTerm = 0;
   /// Number of fencing tokens issued in this term.
   std::uint64_t FencesIssued = 0;
--- a/packages/node/pimentofront/src/Node/Transport.h
+++ b/packages/node/pimentofront/src/Node/Transport.h
@@ -56,7 +56,7 @@
   virtual void onMessage(TimePoint now, LinkId link,
                          const Message &message) = 0;
   virtual void onLinkClosed(TimePoint now, LinkId link) = 0;
-  /// Call it about every ten milliseconds.
+  /// Call it every few tens of milliseconds; the daemon does every 20 ms.
   virtual void tick(TimePoint now) = 0;
 };
 
--- a/packages/state/pimentofront/src/State/AdapterStore.h
+++ b/packages/state/pimentofront/src/State/AdapterStore.h
@@ -17,10 +17,10 @@
 /// the process.
 ///
 /// Records are stored encoded in blocks; a hash index of four bytes per slot
-/// refers to them. A changed record is appended again, and the store is
-/// compacted when more than half of its bytes are garbage. A lookup decodes the
-/// record, which takes some microseconds: use a map where there are few records
-/// and many lookups.
+/// refers to them. A changed record is appended again. A store of more than
+/// four blocks is compacted when more than half of its bytes are garbage. A
+/// lookup decodes the record, which takes some microseconds: use a map where
+/// there are few records and many lookups.
 class AdapterStore {
 public:
   void put(const AdapterRecord &record);
--- a/packages/state/pimentofront/src/State/EvacuationOrders.h
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.h
@@ -42,8 +42,8 @@
   /// This process is the leader in \p term. Repeated calls have no effect.
   void startLeading(TimePoint now, std::uint64_t term);
   /// Decides how to handle an order to evacuate or, if \p evacuated is false,
-  /// to restore \p zone. \param current the configuration with all orders
-  /// accepted so far.
+  /// to restore \p zone.
+  /// \param current the configuration with all orders accepted so far.
   EvacuationDecision evaluate(TimePoint now, const Configuration &current,
                               const ZoneName &zone, bool evacuated) const;
   /// A new order was proposed to the log. Further orders on the zone wait until
--- a/packages/state/pimentofront/src/State/MemberTable.h
+++ b/packages/state/pimentofront/src/State/MemberTable.h
@@ -48,9 +48,10 @@
 /// latest reported start time takes it over at once, without any state of the
 /// former owner, and announcements of a process that started earlier are taken
 /// for late ones. In both cases the rejected process is accepted after all if
-/// it goes on announcing itself while the owner is silent. That happens when a
-/// host's clock was set back between two starts, or when a new leader receives
-/// the announcements in the wrong order.
+/// it goes on announcing itself while the owner is silent, or once the owner
+/// has left the table. That happens when a host's clock was set back between
+/// two starts, or when a new leader receives the announcements in the wrong
+/// order.
 ///
 /// Without reported start times, a process that restarts under its name counts
 /// its announcements anew, and they are rejected until the lease of the former
--- a/packages/state/pimentofront/src/State/QuarantineLedger.cpp
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.cpp
@@ -12,8 +12,8 @@
 const ServerExit *findExit(const QuarantineRecord &record,
                            const ServerProcess &server) {
   const auto it =
-      std::ranges::find_if(record.Exits, [&](const ServerExit &end) {
-        return mayBeSameProcess(end.Server, server);
+      std::ranges::find_if(record.Exits, [&](const ServerExit &crash) {
+        return mayBeSameProcess(crash.Server, server);
       });
   return it == record.Exits.end() ? nullptr : &*it;
 }
@@ -61,9 +61,9 @@
 // Server crashes
 //===----------------------------------------------------------------------===//
 
-CommandOutcome QuarantineLedger::report(const ReportServerExit &end) {
-  for (const InFlightRequest &it : end.RequestsInFlight)
-    addExit(end.Server, it);
+CommandOutcome QuarantineLedger::report(const ReportServerExit &crash) {
+  for (const InFlightRequest &it : crash.RequestsInFlight)
+    addExit(crash.Server, it);
   return {.At = Version};
 }
 
@@ -75,12 +75,13 @@
 /// twelve servers crashed in place of five where processes keep their names and
 /// restart within some hundred milliseconds.
 bool QuarantineLedger::isKnownExit(const QuarantineRecord &record,
-                                   const ServerProcess &server, bool tried) {
-  const ServerExit *end = findExit(record, server);
+                                   const ServerProcess &server,
+                                   bool duringTrial) {
+  const ServerExit *crash = findExit(record, server);
   const bool beforeTrial =
-      end && end - record.Exits.data() <
-                 static_cast<std::ptrdiff_t>(record.ExitsAtGrant);
-  return end && !(tried && beforeTrial);
+      crash && crash - record.Exits.data() <
+                   static_cast<std::ptrdiff_t>(record.ExitsAtGrant);
+  return crash && !(duringTrial && beforeTrial);
 }
 
 void QuarantineLedger::addExit(const ServerProcess &server,
@@ -89,10 +90,10 @@
     evictOldest();
   QuarantineRecord &record = Records[request.Content];
   record.Content = request.Content;
-  const bool tried =
+  const bool duringTrial =
       request.Holder != AttemptId() && record.Holder == request.Holder;
-  const bool isNew = !isKnownExit(record, server, tried);
-  if (tried)
+  const bool isNew = !isKnownExit(record, server, duringTrial);
+  if (duringTrial)
     record.Holder = AttemptId();
   if (isNew && record.Exits.size() < MaxStoredExits)
     record.Exits.push_back({server, request.Answering});
@@ -103,11 +104,11 @@
 }
 
 bool QuarantineLedger::isSoleSuspect(const QuarantineRecord &record,
-                                     const ServerExit &end) const {
-  if (end.Answering)
+                                     const ServerExit &crash) const {
+  if (crash.Answering)
     return false;
   return std::ranges::none_of(Records, [&](const auto &it) {
-    const ServerExit *other = findExit(it.second, end.Server);
+    const ServerExit *other = findExit(it.second, crash.Server);
     return it.first != record.Content && other && !other->Answering;
   });
 }
@@ -152,8 +153,8 @@
   record.Holder = trial.Holder;
   record.MaxTrialDuration = trial.MaxTrialDuration;
   record.ExitsAtGrant = static_cast<std::uint32_t>(record.Exits.size());
-  const bool late = record.Exits.size() >= Options.ExitsToQuarantine;
-  if (isNew && late)
+  const bool afterThreshold = record.Exits.size() >= Options.ExitsToQuarantine;
+  if (isNew && afterThreshold)
     ++record.TrialsAfterThreshold;
   return {.At = Version};
 }
--- a/packages/state/pimentofront/src/State/QuarantineLedger.h
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.h
@@ -21,12 +21,12 @@
   /// other suspects. Bounds the crashes per request also where it always ran
   /// together with the same other requests.
   std::size_t MaxExits = 5;
-  /// Trials granted after ExitsToQuarantine crashes, as far as they aren't
-  /// known not to have run. A request that has had this many is put in
-  /// quarantine.
+  /// Trials granted after ExitsToQuarantine crashes until a request is put in
+  /// quarantine. A trial that is known not to have run doesn't count.
   std::uint32_t MaxTrialsAfterThreshold = 2;
-  /// Maximum number of records, of some 200 bytes each. A server crash adds up
-  /// to a batch of them, most of which are removed within a second.
+  /// Maximum number of records, of some 200 bytes each. A server crash adds
+  /// one for each request of its batch at most; most of these are removed
+  /// within a second.
   std::size_t Capacity = 4096;
   /// Recent removals stored; a receiver that missed more gets the whole ledger.
   std::size_t MaxRemovals = 4096;
@@ -57,7 +57,7 @@
   explicit QuarantineLedger(const QuarantineLedgerOptions &options = {})
       : Options(options) {}
 
-  CommandOutcome report(const ReportServerExit &end);
+  CommandOutcome report(const ReportServerExit &crash);
   CommandOutcome claim(const ClaimTrial &trial);
   CommandOutcome end(const EndTrial &trial);
   CommandOutcome review(const ReviewQuarantine &review);
@@ -79,16 +79,16 @@
 private:
   void addExit(const ServerProcess &server, const InFlightRequest &request);
   static bool isKnownExit(const QuarantineRecord &record,
-                          const ServerProcess &server, bool tried);
+                          const ServerProcess &server, bool duringTrial);
   void markChanged(QuarantineRecord &record);
   void remove(const ContentHash &content);
   void evictOldest();
   void putInQuarantine(QuarantineRecord &record);
   bool shouldQuarantine(const QuarantineRecord &record) const;
-  /// \returns whether \p record is the only suspect in the crash \p end: it was
+  /// \returns whether \p record is the only suspect in \p crash: it was
   /// waiting for its first event then, and no other recorded request was.
   bool isSoleSuspect(const QuarantineRecord &record,
-                     const ServerExit &end) const;
+                     const ServerExit &crash) const;
 
   QuarantineLedgerOptions Options;
   std::map<ContentHash, QuarantineRecord> Records;
--- a/packages/state/pimentofront/src/State/QuarantineReview.h
+++ b/packages/state/pimentofront/src/State/QuarantineReview.h
@@ -13,7 +13,7 @@
   Duration WatchRetention = std::chrono::minutes(1);
   /// How long a request stays in quarantine before it gets one trial; by then
   /// the servers may have been repaired or replaced. Doubles with each further
-  /// quarantine, up to 16 times.
+  /// quarantine, to at most 16 times this value.
   Duration QuarantineDuration = std::chrono::minutes(10);
   /// Added to the duration of a trial for the delay of the report that it has
   /// ended.
--- a/test/EvacuationTest.cpp
+++ b/test/EvacuationTest.cpp
@@ -31,26 +31,28 @@
           "[evacuation-order]") {
   EvacuationOrders orders(ResendWindow);
   orders.startLeading(Now, 1);
-  const Configuration none;
-  CHECK(orders.evaluate(Now, none, Zone, true) == EvacuationDecision::New);
-  CHECK(orders.evaluate(Now, none, Zone, false) == EvacuationDecision::InForce);
+  const Configuration noZones;
+  CHECK(orders.evaluate(Now, noZones, Zone, true) == EvacuationDecision::New);
+  CHECK(orders.evaluate(Now, noZones, Zone, false) ==
+        EvacuationDecision::InForce);
   orders.recordProposed(Zone);
-  CHECK(orders.evaluate(Now, none, Zone, true) ==
+  CHECK(orders.evaluate(Now, noZones, Zone, true) ==
         EvacuationDecision::PossiblyStale);
-  CHECK(orders.evaluate(Now, none, Zone, false) ==
+  CHECK(orders.evaluate(Now, noZones, Zone, false) ==
         EvacuationDecision::PossiblyStale);
   // If this isn't recorded, the zone takes no further orders.
   orders.recordProposalFailed(Zone);
-  CHECK(orders.evaluate(Now, none, Zone, true) == EvacuationDecision::New);
+  CHECK(orders.evaluate(Now, noZones, Zone, true) == EvacuationDecision::New);
   orders.recordProposed(Zone);
   orders.recordAcknowledged(Now, Zone, true);
-  const Configuration away = withZone(true);
-  CHECK(orders.evaluate(Now, away, Zone, true) == EvacuationDecision::InForce);
+  const Configuration withEvacuation = withZone(true);
+  CHECK(orders.evaluate(Now, withEvacuation, Zone, true) ==
+        EvacuationDecision::InForce);
   // A former leader may have acknowledged an opposite order that changed
   // nothing.
-  CHECK(orders.evaluate(Now, away, Zone, false) ==
+  CHECK(orders.evaluate(Now, withEvacuation, Zone, false) ==
         EvacuationDecision::PossiblyStale);
-  CHECK(orders.evaluate(Now + ResendWindow, away, Zone, false) ==
+  CHECK(orders.evaluate(Now + ResendWindow, withEvacuation, Zone, false) ==
         EvacuationDecision::New);
 }
 
@@ -59,17 +61,17 @@
   EvacuationOrders orders(ResendWindow);
   orders.startLeading(Now, 1);
   orders.recordAcknowledged(Now + 10s, Zone, true);
-  const Configuration back = withZone(false);
-  CHECK(orders.evaluate(Now + 15s, back, Zone, true) ==
+  const Configuration withRestoration = withZone(false);
+  CHECK(orders.evaluate(Now + 15s, withRestoration, Zone, true) ==
         EvacuationDecision::PossiblyStale);
-  CHECK(orders.evaluate(Now + 16s, back, Zone, true) ==
+  CHECK(orders.evaluate(Now + 16s, withRestoration, Zone, true) ==
         EvacuationDecision::New);
   // A new leader knows only that earlier orders were acknowledged before its
   // term.
   orders.startLeading(Now + 20s, 2);
-  CHECK(orders.evaluate(Now + 25s, back, Zone, true) ==
+  CHECK(orders.evaluate(Now + 25s, withRestoration, Zone, true) ==
         EvacuationDecision::PossiblyStale);
-  CHECK(orders.evaluate(Now + 26s, back, Zone, true) ==
+  CHECK(orders.evaluate(Now + 26s, withRestoration, Zone, true) ==
         EvacuationDecision::New);
 }
 
@@ -197,7 +199,7 @@
   CHECK(other.wait(Now, 2) == 2s + 200ms + 1us);
 }
 
-TEST_CASE("the settings of cold servers and regions are decoded",
+TEST_CASE("the times of cold servers and the allowed regions are decoded",
           "[evacuation-order]") {
   Findings findings;
   const auto registration = [&](const std::string &cold) {
--- a/test/LogTest.cpp
+++ b/test/LogTest.cpp
@@ -11,18 +11,18 @@
 
 TEST_CASE(
     "log lines are rate-limited per event, and dropped lines are counted") {
-  LogRateLimiter gate({.Burst = 5, .PerSecond = 2});
+  LogRateLimiter limiter({.Burst = 5, .PerSecond = 2});
   const TimePoint start{100s};
   int written = 0;
   for (int i = 0; i < 100; ++i)
-    written += gate.allow(start, "busy");
+    written += limiter.allow(start, "busy");
   CHECK(written == 5);
-  CHECK(gate.allow(start, "other"));
-  CHECK(gate.takeOmitted() ==
+  CHECK(limiter.allow(start, "other"));
+  CHECK(limiter.takeOmitted() ==
         std::map<std::string, std::uint64_t>{{"busy", 95}});
-  CHECK(gate.takeOmitted().empty());
+  CHECK(limiter.takeOmitted().empty());
   for (int i = 0; i < 100; ++i)
-    written += gate.allow(start + 10ms * i, "busy");
+    written += limiter.allow(start + 10ms * i, "busy");
   CHECK(written == 6);
 }
 
--- a/test/NodeTest.cpp
+++ b/test/NodeTest.cpp
@@ -12,12 +12,12 @@
 public:
   LinkId open(const std::string &address, LinkPurpose) override {
     Opened.push_back(address);
-    return ++Last;
+    return ++LastLink;
   }
   void send(LinkId link, const Message &) override { Used.insert(link); }
   void close(LinkId link) override { Closed.push_back(link); }
 
-  LinkId Last = 100;
+  LinkId LastLink = 100;
   std::set<LinkId> Used;
   std::vector<std::string> Opened;
   std::vector<LinkId> Closed;
@@ -131,18 +131,18 @@
   RecordingTransport transport;
   NoDriver driver;
   LeastPopular eviction;
-  UncoordinatedLoads gate;
+  UncoordinatedLoads loads;
   TimePoint now{100s};
   AgentNode node(now,
                  {.Agent = {.Host = HostName("w"), .Incarnation = 2},
                   .Address = "1.0.0.1:9",
                   .Replicas = {"a", "b"}},
-                 eviction, gate, driver, transport);
+                 eviction, loads, driver, transport);
   REQUIRE(transport.Opened.size() == 1);
   for (int i = 0; i < 30; ++i)
     node.tick(now += 20ms);
   REQUIRE(transport.Opened.size() == 2);
-  CHECK(transport.Used.contains(transport.Last));
+  CHECK(transport.Used.contains(transport.LastLink));
 }
 
 TEST_CASE("a link is silent if nothing arrives after a request on it") {
--- a/test/QuarantineTest.cpp
+++ b/test/QuarantineTest.cpp
@@ -17,12 +17,13 @@
 
 /// A ledger and the commands that its entries send.
 struct LedgerUnderTest {
-  /// Reports that \p process crashed while it ran \p atWork, all of them
+  /// Reports that \p process crashed while it ran \p inFlight, all of them
   /// waiting for their first event unless \p answering.
-  void end(const ServerProcess &process, std::vector<std::uint64_t> atWork,
-           bool answering = false) {
+  void reportCrash(const ServerProcess &process,
+                   std::vector<std::uint64_t> inFlight,
+                   bool answering = false) {
     ReportServerExit report{process, {}};
-    for (const std::uint64_t it : atWork)
+    for (const std::uint64_t it : inFlight)
       report.RequestsInFlight.push_back({content(it), answering, {}});
     Ledger.report(report);
   }
@@ -53,7 +54,7 @@
 
 TEST_CASE("a watched request is tried by one attempt at a time") {
   LedgerUnderTest it;
-  it.end(server("s1"), {1});
+  it.reportCrash(server("s1"), {1});
   CHECK(it.claim(1, 1) == Granted);
   CHECK(it.claim(1, 1) == Granted); // Resent: the reply was lost.
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
@@ -66,7 +67,7 @@
 TEST_CASE(
     "three crashes, in one of them the only suspect, lead to quarantine") {
   LedgerUnderTest it;
-  it.end(server("s1"), {1, 2, 3});
+  it.reportCrash(server("s1"), {1, 2, 3});
   it.crashingTrial(1, server("s2"));
   it.crashingTrial(1, server("s3"));
   CHECK(it.claim(1) == Quarantined);
@@ -77,11 +78,11 @@
 TEST_CASE("the crash of a process counts once, whoever reports it") {
   LedgerUnderTest it;
   for (int i = 0; i < 4; ++i)
-    it.end(server("s1"), {1});
+    it.reportCrash(server("s1"), {1});
   CHECK(it.Ledger.find(content(1))->Exits.size() == 1);
   SECTION("the next process under its name counts separately") {
-    it.end(server("s1", 2), {1});
-    it.end(server("s1", 3), {1});
+    it.reportCrash(server("s1", 2), {1});
+    it.reportCrash(server("s1", 3), {1});
     CHECK(it.claim(1) == Quarantined);
   }
 }
@@ -90,7 +91,7 @@
     "a trial that crashes a process known to have crashed ran on a later one") {
   LedgerUnderTest it;
   const ServerProcess known = server("s1");
-  it.end(known, {1});
+  it.reportCrash(known, {1});
   it.crashingTrial(1, known);
   it.crashingTrial(1, known);
   CHECK(it.Ledger.find(content(1))->Exits.size() == 3);
@@ -100,9 +101,9 @@
 TEST_CASE(
     "the crash of a process counts once for a trial and another attempt") {
   LedgerUnderTest it;
-  it.end(server("s1"), {1});
+  it.reportCrash(server("s1"), {1});
   REQUIRE(it.claim(1) == Granted);
-  it.end(server("s2"), {1});
+  it.reportCrash(server("s2"), {1});
   it.Ledger.report({server("s2"), {{content(1), false, attempt(1)}}});
   CHECK(it.Ledger.find(content(1))->Exits.size() == 2);
 }
@@ -111,7 +112,7 @@
     "requests that share all their crashes stay watched up to four crashes") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3", "s4"}) {
-    it.end(server(name), {1, 2});
+    it.reportCrash(server(name), {1, 2});
     CHECK(it.claim(1) == Granted);
     it.endTrial(1, TrialEnding::NotRun);
   }
@@ -121,7 +122,7 @@
     CHECK(it.claim(1) == Quarantined);
   }
   SECTION("after the fifth crash it is quarantined in any case") {
-    it.end(server("s5"), {1, 2});
+    it.reportCrash(server("s5"), {1, 2});
     CHECK(it.claim(1) == Quarantined);
   }
 }
@@ -130,17 +131,17 @@
     "a request that was being answered takes five crashes to quarantine") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3", "s4"})
-    it.end(server(name), {1}, /*answering=*/true);
+    it.reportCrash(server(name), {1}, /*answering=*/true);
   CHECK(it.claim(1) == Granted);
   it.endTrial(1, TrialEnding::NotRun);
-  it.end(server("s5"), {1}, /*answering=*/true);
+  it.reportCrash(server("s5"), {1}, /*answering=*/true);
   CHECK(it.claim(1) == Quarantined);
 }
 
 TEST_CASE("trials with an unclear outcome after the third crash are limited") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3"})
-    it.end(server(name), {1, 2});
+    it.reportCrash(server(name), {1, 2});
   for (int i = 0; i < 2; ++i) {
     CHECK(it.claim(1) == Granted);
     it.endTrial(1, TrialEnding::Unclear);
@@ -158,15 +159,15 @@
   QuarantineReview review(
       {.WatchRetention = 1min, .QuarantineDuration = 10min});
   for (const char *name : {"s1", "s2", "s3"})
-    it.end(server(name), {1});
+    it.reportCrash(server(name), {1});
   REQUIRE(it.claim(1) == Quarantined);
-  const auto pass = [&](TimePoint at) {
+  const auto reviewAt = [&](TimePoint at) {
     it.Ledger.review(review.take(at, it.Ledger));
   };
-  pass(Now);
-  pass(Now + 9min);
+  reviewAt(Now);
+  reviewAt(Now + 9min);
   CHECK(it.claim(1) == Quarantined);
-  pass(Now + 10min);
+  reviewAt(Now + 10min);
   SECTION("the server survives it") {
     CHECK(it.claim(1) == Granted);
     it.endTrial(1, TrialEnding::Survived);
@@ -175,16 +176,16 @@
   SECTION("the server crashes, and the time doubles") {
     it.crashingTrial(1, server("s4"));
     CHECK(it.claim(1) == Quarantined);
-    pass(Now + 11min);
-    pass(Now + 22min);
+    reviewAt(Now + 11min);
+    reviewAt(Now + 22min);
     CHECK(it.claim(1) == Quarantined);
-    pass(Now + 32min);
+    reviewAt(Now + 32min);
     CHECK(it.claim(1) == Granted);
   }
   SECTION("a crash reported outside a trial quarantines it again") {
-    it.end(server("s9"), {1});
-    pass(Now + 11min);
-    pass(Now + 22min);
+    it.reportCrash(server("s9"), {1});
+    reviewAt(Now + 11min);
+    reviewAt(Now + 22min);
     CHECK(it.Ledger.find(content(1))->Quarantines == 2);
   }
 }
@@ -193,25 +194,25 @@
     "a watched request without retries is removed also after a lost trial") {
   LedgerUnderTest it;
   QuarantineReview review({.WatchRetention = 1min});
-  it.end(server("s1"), {1, 2});
+  it.reportCrash(server("s1"), {1, 2});
   REQUIRE(it.claim(1) == Granted);
-  const auto pass = [&](TimePoint at) {
+  const auto reviewAt = [&](TimePoint at) {
     it.Ledger.review(review.take(at, it.Ledger));
   };
-  pass(Now);
+  reviewAt(Now);
   // Its entry has crashed: the grant lasts for the maximum time of the attempt.
-  pass(Now + 5s);
+  reviewAt(Now + 5s);
   CHECK(it.claim(1, 2) == CommandResult::InProgress);
-  pass(Now + 6s);
+  reviewAt(Now + 6s);
   CHECK(it.claim(1, 2) == Granted);
-  pass(Now + 1min);
+  reviewAt(Now + 1min);
   CHECK_FALSE(it.Ledger.find(content(2)));
 }
 
 TEST_CASE("time in which the host is suspended counts for a review") {
   LedgerUnderTest it;
   QuarantineReview review({.WatchRetention = 1min});
-  it.end(server("s1"), {1});
+  it.reportCrash(server("s1"), {1});
   review.take(Now, it.Ledger);
   // Only the boot clock counts the hour of suspension.
   CHECK(review.take(Now + 1h, it.Ledger).Due.size() == 1);
@@ -220,7 +221,7 @@
 TEST_CASE("an operator's release clears a request") {
   LedgerUnderTest it;
   for (const char *name : {"s1", "s2", "s3"})
-    it.end(server(name), {1});
+    it.reportCrash(server(name), {1});
   REQUIRE(it.claim(1) == Quarantined);
   CHECK(it.Ledger.release({content(1)}).Result == Granted);
   CHECK(it.Ledger.release({content(1)}).Result == CommandResult::NotFound);
--- a/test/SettingsTest.cpp
+++ b/test/SettingsTest.cpp
@@ -31,9 +31,9 @@
 } // namespace
 
 TEST_CASE("valid settings are applied") {
-  Findings none;
-  const Settings settings = Settings::parse("f.json", Good, none);
-  CHECK(none.toText().empty());
+  Findings faults;
+  const Settings settings = Settings::parse("f.json", Good, faults);
+  CHECK(faults.toText().empty());
   CHECK(settings.Agent.Agent.Slots == 5);
   CHECK(settings.Affinity.Choices == 3);
   CHECK(settings.Services.at(0).Name == ServiceName("stock"));
