--- a/packages/state/pimentofront/src/State/QuarantineLedger.h
+++ b/packages/state/pimentofront/src/State/QuarantineLedger.h
@@ -21,13 +21,12 @@
   /// other suspects. Bounds the crashes per request also where it always ran
   /// together with the same other requests.
   std::size_t MaxExits = 5;
-  /// Trials that may be granted after ExitsToQuarantine crashes. A request that
-  /// has had this many is put in quarantine. Trials that are known not to have
-  /// run don't count.
+  /// Trials granted after ExitsToQuarantine crashes until a request is put in
+  /// quarantine. A trial that is known not to have run doesn't count.
   std::uint32_t MaxTrialsAfterThreshold = 2;
-  /// Maximum number of records, of some 200 bytes each. A server crash adds at
-  /// most a batch of them, one for each request in progress, and most are
-  /// removed within a second.
+  /// Maximum number of records, of some 200 bytes each. A server crash adds
+  /// one for each request of its batch at most; most of these are removed
+  /// within a second.
   std::size_t Capacity = 4096;
   /// Recent removals stored; a receiver that missed more gets the whole ledger.
   std::size_t MaxRemovals = 4096;
@@ -58,8 +57,7 @@
   explicit QuarantineLedger(const QuarantineLedgerOptions &options = {})
       : Options(options) {}
 
-  /// Each of these applies the command that is its parameter's type.
-  CommandOutcome report(const ReportServerExit &serverExit);
+  CommandOutcome report(const ReportServerExit &crash);
   CommandOutcome claim(const ClaimTrial &trial);
   CommandOutcome end(const EndTrial &trial);
   CommandOutcome review(const ReviewQuarantine &review);
@@ -82,17 +80,16 @@
   void addExit(const ServerProcess &server, const InFlightRequest &request);
   /// \param tried whether the request ran there under its current trial grant.
   static bool isKnownExit(const QuarantineRecord &record,
-                          const ServerProcess &server, bool tried);
+                          const ServerProcess &server, bool duringTrial);
   void markChanged(QuarantineRecord &record);
   void remove(const ContentHash &content);
   void evictOldest();
   void putInQuarantine(QuarantineRecord &record);
   bool shouldQuarantine(const QuarantineRecord &record) const;
-  /// \returns whether \p record is the only suspect in the crash
-  /// \p serverExit: it was waiting for its first event then, and no other
-  /// recorded request was.
+  /// \returns whether \p record is the only suspect in \p crash: it was
+  /// waiting for its first event then, and no other recorded request was.
   bool isSoleSuspect(const QuarantineRecord &record,
-                     const ServerExit &serverExit) const;
+                     const ServerExit &crash) const;
 
   QuarantineLedgerOptions Options;
   std::map<ContentHash, QuarantineRecord> Records;
