--- a/packages/daemon/src/Daemon.cpp
+++ b/packages/daemon/src/Daemon.cpp
@@ -78,7 +78,7 @@
       *Control);
   Client = std::make_unique<HttpClient>(Loop);
   if (Options.IsForward)
-    Front = std::make_unique<ForwardIo>(
+    ForwardConnections = std::make_unique<ForwardIo>(
         Loop, *HostPort::parse(Options.ForwardAddress), *Log, Counters);
 }
 
@@ -169,8 +169,9 @@
   forward.Forward.Servers.Zone = Options.Zone;
   ForwardRouting = std::make_unique<PrefixRouting>(Options.Prefix);
   Forward = std::make_unique<ForwardNode>(now, forward, Headers, Documents,
-                                          *ForwardRouting, *Network, *Front);
-  Front->setNode(*Forward);
+                                          *ForwardRouting, *Network,
+                                          *ForwardConnections);
+  ForwardConnections->setNode(*Forward);
   Control->setReady(
       [this] { return Forward->ready(Loop.now()) && !StopStartedAt; });
 }
@@ -389,8 +390,8 @@
   StopStartedAt = Loop.now();
   Log->write(LogLevel::Info, "stop_began", {});
   Api->beginStop();
-  if (Front)
-    Front->beginStop();
+  if (ForwardConnections)
+    ForwardConnections->beginStop();
   if (Agent)
     Agent->leave(Loop.now());
   // Gives the load balancer time to see that this process is not ready before
@@ -398,15 +399,16 @@
   StopTimer = Loop.after(Options.StopNotice, [this] {
     if (Entry)
       Entry->stop();
-    if (Front)
-      Front->stopListening();
+    if (ForwardConnections)
+      ForwardConnections->stopListening();
     StopTimer = Loop.every(TickPeriod, [this] { continueStop(); });
   });
 }
 
 bool Daemon::idle() const {
   return (!Entry || Entry->idle()) && (!Forward || Forward->idle()) &&
-         (!Front || Front->idle()) && (!Agent || Agent->controller().idle());
+         (!ForwardConnections || ForwardConnections->idle()) &&
+         (!Agent || Agent->controller().idle());
 }
 
 void Daemon::continueStop() {
--- a/packages/daemon/src/Daemon.h
+++ b/packages/daemon/src/Daemon.h
@@ -34,8 +34,9 @@
   Daemon(const Daemon &) = delete;
   Daemon &operator=(const Daemon &) = delete;
 
-  /// Runs until a signal stops the process, or until the data folder turns out
-  /// to be damaged.
+  /// Runs until a signal stops the process. Ends early if an address can't be
+  /// bound, or if the data folder is damaged at the start or when it is
+  /// reopened after a failed write.
   ExitCode run();
 
   void onLinkOpen(LinkId link, const Hello &hello) override;
@@ -94,7 +95,7 @@
   std::unique_ptr<RoutingPolicy> ForwardRouting;
   std::unique_ptr<EngineDriver> Driver;
   std::unique_ptr<platform::EngineOrders> Orders;
-  std::unique_ptr<ForwardIo> Front;
+  std::unique_ptr<ForwardIo> ForwardConnections;
   std::unique_ptr<EntryNode> Entry;
   std::unique_ptr<ForwardNode> Forward;
   std::unique_ptr<AgentNode> Agent;
--- a/packages/daemon/src/EventLog.cpp
+++ b/packages/daemon/src/EventLog.cpp
@@ -59,7 +59,7 @@
   /// The appender for standard output; null when lines go to a file.
   PipeAppender *Pipe = nullptr;
   bool Console = false;
-  LogRateLimiter Gate;
+  LogRateLimiter RateLimiter;
   std::uint64_t DroppedReported = 0;
   std::unique_ptr<Timer> ReportTimer;
 
@@ -87,7 +87,7 @@
   /// Logs how many lines were omitted or dropped, so that a gap in the log is
   /// not mistaken for a time without events.
   void reportOmissions() {
-    for (const auto &[event, n] : Gate.takeOmitted())
+    for (const auto &[event, n] : RateLimiter.takeOmitted())
       writeLine(LogLevel::Warn, "lines_left_out",
                 {{"of", event}, {"count", n}});
     const std::uint64_t dropped = Pipe ? Pipe->dropped() : 0;
@@ -135,7 +135,8 @@
   if (!State->Logger.isEnabledFor(levelOf(level)))
     return;
   // Warnings and errors are never rate limited.
-  if (level < LogLevel::Warn && !State->Gate.allow(State->Loop.now(), event))
+  if (level < LogLevel::Warn &&
+      !State->RateLimiter.allow(State->Loop.now(), event))
     return;
   State->writeLine(level, event, fields);
 }
--- a/packages/daemon/src/EventLog.h
+++ b/packages/daemon/src/EventLog.h
@@ -27,8 +27,8 @@
 /// \brief Writes events as JSON lines through log4cplus. Each line has the
 /// host, its availability zone and a hybrid logical timestamp, so that the
 /// lines of all processes can be merged into one time line. Lines below the
-/// level Warn are rate limited for each event (LogGate). A full standard output
-/// never blocks the process: the line is dropped and counted.
+/// level Warn are rate limited for each event (LogRateLimiter). A full standard
+/// output never blocks the process: the line is dropped and counted.
 class EventLog {
 public:
   /// \param clock source of the timestamps; must outlive the log.
--- a/packages/daemon/src/ForwardIo.cpp
+++ b/packages/daemon/src/ForwardIo.cpp
@@ -34,8 +34,8 @@
     Callers.replyPiece(piece->Key, piece->Bytes);
   else if (const auto *send = std::get_if<SendUpstream>(&command))
     Servers.send(*send);
-  else if (const auto *whole = std::get_if<ReplyComplete>(&command))
-    Callers.reply(whole->Key, whole->Head, whole->Body);
+  else if (const auto *complete = std::get_if<ReplyComplete>(&command))
+    Callers.reply(complete->Key, complete->Head, complete->Body);
   else if (const auto *head = std::get_if<ReplyHead>(&command))
     Callers.replyHead(head->Key, head->Head);
   else if (const auto *end = std::get_if<ReplyEnd>(&command))
@@ -52,8 +52,8 @@
 
 void ForwardIo::checkServer(const CheckServer &check) {
   Probe.start(check.Address,
-              [this, server = check.Server](ServerCheckResult life) {
-                Node->serverChecked(Loop.now(), server, life);
+              [this, server = check.Server](ServerCheckResult result) {
+                Node->serverChecked(Loop.now(), server, result);
               });
 }
 
--- a/packages/daemon/src/SettingsReader.h
+++ b/packages/daemon/src/SettingsReader.h
@@ -17,7 +17,8 @@
   /// Line number of each value, by its JSON pointer.
   std::map<std::string, std::size_t> Lines;
 
-  /// Parses \p text; adds a finding if it is not valid JSON or not an object.
+  /// Parses \p text; adds a finding if it is not valid JSON or not an object,
+  /// and for each key that appears twice in an object.
   static SettingsDocument parse(const std::string &file, std::string_view text,
                                 Findings &findings);
   /// \returns "file:line: /pointer".
--- a/packages/http/pimentofront/src/Http/CallerListener.cpp
+++ b/packages/http/pimentofront/src/Http/CallerListener.cpp
@@ -119,7 +119,7 @@
 }
 
 void CallerListener::freeClosed() {
-  const auto dead = std::exchange(ClosedChannels, {});
+  const auto closed = std::exchange(ClosedChannels, {});
   FreeTimer.reset();
 }
 
--- a/packages/http/pimentofront/src/Http/ConnectProbe.cpp
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.cpp
@@ -77,10 +77,10 @@
       Loop.after(Timeout, [this, id] { end(id, ServerCheckResult::Unknown); });
 }
 
-void ConnectProbe::end(std::uint64_t id, ServerCheckResult life) {
+void ConnectProbe::end(std::uint64_t id, ServerCheckResult outcome) {
   const auto found = Attempts.extract(id);
   if (found)
-    found.mapped()->Done(life);
+    found.mapped()->Done(outcome);
 }
 
 } // namespace pimentofront
--- a/packages/http/pimentofront/src/Http/ConnectProbe.h
+++ b/packages/http/pimentofront/src/Http/ConnectProbe.h
@@ -30,7 +30,7 @@
 
 private:
   struct Attempt;
-  void end(std::uint64_t id, ServerCheckResult life);
+  void end(std::uint64_t id, ServerCheckResult outcome);
 
   EventLoop &Loop;
   std::uint64_t LastId = 0;
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -114,7 +114,7 @@
 }
 
 void UpstreamPool::freeClosed() {
-  const auto dead = std::exchange(ClosedChannels, {});
+  const auto closed = std::exchange(ClosedChannels, {});
   FreeTimer.reset();
 }
 
@@ -126,7 +126,8 @@
     all.push_back(it.get());
   for (detail::UpstreamChannel *it : all)
     it->checkTime(now);
-  // Not earlier: functions that close connections hold a reference to the peer.
+  // Peers are removed only here, since functions that close connections hold a
+  // reference to their peer.
   std::erase_if(Peers, [](const auto &it) { return it.second.Open == 0; });
 }
 
--- a/packages/net/pimentofront/src/Net/PeerNetwork.cpp
+++ b/packages/net/pimentofront/src/Net/PeerNetwork.cpp
@@ -176,7 +176,7 @@
   }
 
   void freeClosed() {
-    const auto dead = std::move(ClosedLinks);
+    const auto closed = std::move(ClosedLinks);
     ClosedLinks.clear();
     FreeTimer.reset();
   }
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -410,17 +410,17 @@
 void ForwardFleet::onCheck(SimulatedProcess &entry, const CheckServer &check) {
   constexpr Duration Timeout = std::chrono::milliseconds(200);
   const Server *server = findServer(check.Address);
-  ServerCheckResult life =
+  ServerCheckResult checkResult =
       server->Up ? ServerCheckResult::StillRunning : ServerCheckResult::Exited;
   if (server->PoweredOff)
-    life = ServerCheckResult::Unknown;
+    checkResult = ServerCheckResult::Unknown;
   const Duration wait =
-      life == ServerCheckResult::Unknown ? Timeout : 2 * Options.Latency;
+      checkResult == ServerCheckResult::Unknown ? Timeout : 2 * Options.Latency;
   Sim.after(wait,
             [this, host = entry.Spec.Host, incarnation = entry.Incarnation,
-             process = check.Server, life] {
+             process = check.Server, checkResult] {
               Sim.atProcess(host, incarnation, [=](SimulatedProcess &it) {
-                it.Forward->serverChecked(it.Owner.now(), process, life);
+                it.Forward->serverChecked(it.Owner.now(), process, checkResult);
               });
             });
 }
--- a/packages/testkit/pimentofront/src/Testkit/SimulatedProcess.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/SimulatedProcess.cpp
@@ -21,7 +21,8 @@
 void SimulatedProcess::generate(const ExecuteRequest &request) {
   if (Engine->generate(request, KnownEngineStart))
     return;
-  // The engine's refusal arrives after 100 us.
+  // The engine is down, or has restarted and no longer holds the adapter. Its
+  // refusal arrives after 100 us.
   Owner.after(Duration(100), [this, attempt = request.Attempt,
                               incarnation = Incarnation] {
     Owner.atProcess(Spec.Host, incarnation, [=](SimulatedProcess &process) {
--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -37,48 +37,48 @@
 
 serving=packages/serving/pimentofront/src/Serving
 scenarios="the scenarios by name"
-guard "an entry that isn't certain of its configuration refuses" \
+guard "an entry refuses requests while its configuration isn't confirmed" \
   $serving/EntryController.cpp 'if (!Board.Configuration.isConfirmed(now))' 'if (false)' "$scenarios"
-guard "an adapter in use isn't given up" \
+guard "an adapter in use is not evicted" \
   $serving/SlotTable.h 'slot.Pins == 0 &&' '' "an adapter in use is never evicted"
-guard "a leaving host takes no new work" \
+guard "a leaving host accepts no new requests" \
   $serving/AdmissionController.cpp 'if (Board.Leaving)' 'if (false)' "$scenarios"
-guard "a request that may not be repeated isn't retried" \
+guard "a non-idempotent request is not retried" \
   $serving/EntryController.cpp 'if (!request.Caller.Idempotent)
     return finish(request, unknown(why));' '' "$scenarios"
-guard "a claim is granted once" \
+guard "a claim is granted only once" \
   packages/state/pimentofront/src/State/ClaimLedger.cpp \
   'if (!released || outcome.Result != CommandResult::Accepted)' 'if (false)' "$scenarios"
-guard "an answer must be whole" \
+guard "an incomplete answer is not delivered as complete" \
   $serving/EntryController.cpp 'message.Tokens == request->Attempt->Tokens' 'true' \
   "an answer with a missing part is not delivered as complete"
-guard "a leader relies on its lease, not on its role" \
+guard "a leader without a valid lease doesn't act as leader" \
   packages/consensus/pimentofront/src/Consensus/Election.cpp \
   'return now < since + Options.ElectionTimeout - Options.ClockMargin;' 'return true;' \
   "a leader's lease counts from when its request was sent"
-guard "a replica that just started grants no vote" \
+guard "a replica that has just started grants no vote" \
   packages/consensus/pimentofront/src/Consensus/Election.cpp \
   'leaderAlive || now < NoVoteBefore' 'leaderAlive' \
   "a replica that has just started grants no vote"
-guard "what isn't synced isn't committed" \
+guard "log entries are not committed before they are synced" \
   packages/consensus/pimentofront/src/Consensus/Replication.cpp \
   '? Synced' '? lastIndex()' "a group of one commits what it has synced"
-guard "the configuration never goes back" \
+guard "a configuration copy ignores records older than its revision" \
   packages/state/pimentofront/src/State/ConfigurationCopy.cpp \
   'if (changedAt(it) <= Records.revision())' 'if (false)' \
   "a copy keeps its revision after older records and partial updates"
-guard "an engine is waited out before it is used" \
+guard "an engine that was found running is not used before it has settled" \
   $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settle)' 'if (false)' \
   "an agent that starts beside a running engine waits until the engine has settled"
-guard "a link that replicas don't own isn't used by them" \
+guard "a replica doesn't use a link that another node of its process opened" \
   packages/node/pimentofront/src/Node/ReplicaNode.cpp \
   'if (hello.Replica == 0 || (hello.Accepted && !ours))' 'if (hello.Replica == 0)' \
   "random schedules of faults with fixed seeds"
-guard "the other one of two links serves when one ends" \
+guard "when one of two links to a replica closes, the other one is used" \
   packages/node/pimentofront/src/Node/ReplicaNode.cpp \
   'if (other != ReplicaOfLink.end())' 'if (false)' \
   "when one of two links to a replica ends the other one serves"
-guard "a conflict of operators has one winner" \
+guard "of two conflicting operator commands only one is accepted" \
   packages/state/pimentofront/src/State/StateMachine.cpp \
   'return conflict(adapter->ChangedBy, "the version exists");' '{}' "$scenarios"
 exit $failed
--- a/test/EngineOrdersTest.cpp
+++ b/test/EngineOrdersTest.cpp
@@ -223,9 +223,9 @@
 
 } // namespace
 
-// Guards against an overfull engine: an order that was sent before a restart is
-// carried out seconds later, when the new process has accepted as many orders
-// as the order names and has no free slot.
+// Guards against overfilling an engine, which makes it exit: an order that was
+// sent before a restart is carried out seconds later, when the new process has
+// accepted as many orders as the order names and has no free slot.
 TEST_CASE("an order from before a restart isn't carried out after it") {
   AgentUnderTest it;
   it.turnUntil([&] { return it.ready(); });
@@ -298,8 +298,9 @@
   it.serve("b");
 }
 
-// An order from before the restart matches the engine's name and, later, its
-// order count again. Only a slot that is kept free prevents an overfull engine.
+// Guards against overfilling an engine that keeps its name after a restart: an
+// order from before the restart matches the name and, later, the order count
+// again, so the engine doesn't refuse it. Only a slot that is kept free helps.
 TEST_CASE("a slot stays free for an old order after a restart under one name") {
   AgentUnderTest it;
   it.Engine.ReportsStart = true;
--- a/test/EvacuationFleetTest.cpp
+++ b/test/EvacuationFleetTest.cpp
@@ -1,7 +1,9 @@
-// Evacuations of zones and warm-up of cold servers, with failures. Both were
-// once not implemented: an order to evacuate a zone was answered with 405 and
-// requests kept going to its servers, and servers that restarted cold received
-// up to three times the requests that a cold server takes.
+// Guards against requests to the servers of an evacuated zone and against more
+// requests to a cold server than it accepts, also while processes fail. Both
+// came about because nothing read the orders and the limits of cold servers: an
+// order to evacuate a zone was answered with 405 and requests kept going to its
+// servers, and servers that restarted cold received up to three times the
+// requests that they accept.
 
 #include "Schedules.h"
 #include "pimentofront/Testkit.h"
@@ -174,20 +176,20 @@
       it.runFor(5s);
       const int sentBefore = it.Sent;
       const int answeredBefore = it.Answered;
-      const auto away = it.order(FirstZone, /*evacuate=*/true);
+      const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
       it.runFor(10s);
       INFO("seed " << seed << (engines ? ", engines" : ", plain servers"));
-      REQUIRE(away->AcknowledgedAt);
+      REQUIRE(evacuation->AcknowledgedAt);
       const TimePoint until = it.Fleet.now();
-      CHECK(it.arrivalsIn(FirstZone, *away->AcknowledgedAt + 500ms, until) ==
-            0);
+      CHECK(it.arrivalsIn(FirstZone, *evacuation->AcknowledgedAt + 500ms,
+                          until) == 0);
       // The other two zones take its load.
       CHECK(it.Answered - answeredBefore >= (it.Sent - sentBefore) * 90 / 100);
       for (std::uint32_t i = 0; i < 12; i += 3)
         it.Fleet.makeServerCold(i);
-      const auto back = it.order(FirstZone, /*evacuate=*/false);
+      const auto restore = it.order(FirstZone, /*evacuate=*/false);
       it.runFor(10s);
-      REQUIRE(back->AcknowledgedAt);
+      REQUIRE(restore->AcknowledgedAt);
       CHECK(static_cast<double>(it.maxWhileCold()) <=
             ColdPerSecond * ColdOvershoot + ColdSlack);
       CHECK(it.arrivalsIn(FirstZone, until + 5s, it.Fleet.now()) > 20);
@@ -215,13 +217,13 @@
   it.runFor(5s);
   const Revision before = it.configurationRevision();
   // Never acknowledged, and therefore resent for five seconds.
-  const auto away = it.order(FirstZone, /*evacuate=*/true);
+  const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
   REQUIRE(it.isEvacuated(FirstZone) == true);
   it.Options.LostAcknowledgementShare = 0;
-  const auto back = it.order(FirstZone, /*evacuate=*/false);
+  const auto restore = it.order(FirstZone, /*evacuate=*/false);
   it.runFor(100ms);
-  REQUIRE(back->AcknowledgedAt);
+  REQUIRE(restore->AcknowledgedAt);
   it.runFor(8s);
   CHECK(it.isEvacuated(FirstZone) == false);
   CHECK(it.configurationRevision() == before + 2);
@@ -234,9 +236,9 @@
 
 TEST_CASE("an evacuation survives a restart of all processes", "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 20});
-  const auto away = it.order(FirstZone, /*evacuate=*/true);
+  const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
-  REQUIRE(away->AcknowledgedAt);
+  REQUIRE(evacuation->AcknowledgedAt);
   World &simulation = it.Fleet.simulation();
   for (SimulatedProcess *process : simulation.processes())
     simulation.kill(*process);
@@ -257,10 +259,10 @@
   World &simulation = it.Fleet.simulation();
   it.Fleet.cutOffReplicas(it.Fleet.entry(0).Spec.Host);
   simulation.freezeFor(it.Fleet.entry(1), 8s);
-  const auto away = it.order(FirstZone, /*evacuate=*/true);
+  const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(12s);
-  REQUIRE(away->AcknowledgedAt);
-  CHECK(it.arrivalsIn(FirstZone, *away->AcknowledgedAt + EvacuationBound,
+  REQUIRE(evacuation->AcknowledgedAt);
+  CHECK(it.arrivalsIn(FirstZone, *evacuation->AcknowledgedAt + EvacuationBound,
                       it.Fleet.now()) == 0);
   std::optional<CallerAnswer> answer;
   it.Fleet.call(it.Fleet.entry(0), "late",
@@ -278,9 +280,9 @@
 /// \returns a description of each violation and the schedule; empty if there
 /// was none.
 std::string runSchedule(std::uint64_t seed) {
-  Random chance(seed);
+  Random rng(seed);
   const auto draw = [&](std::uint64_t n) {
-    return static_cast<std::uint32_t>(chance.next() % n);
+    return static_cast<std::uint32_t>(rng.next() % n);
   };
   const bool engines = draw(2) == 0;
   ZoneFleet it({.Seed = seed,
@@ -309,19 +311,20 @@
     }
     if (!process || !process->Alive || process->Frozen)
       return;
-    const Duration away = (200 + draw(6000)) * 1ms;
+    const Duration duration = (200 + draw(6000)) * 1ms;
     const HostName host = process->Spec.Host;
     recordStep((kind == 3   ? "freeze "
                 : kind == 4 ? "cut off "
                             : "kill ") +
-               host.str() + " for " + std::to_string(toSeconds(away)));
+               host.str() + " for " + std::to_string(toSeconds(duration)));
     if (kind == 3)
-      return simulation.freezeFor(*process, away);
+      return simulation.freezeFor(*process, duration);
     if (kind == 4) {
       it.Fleet.cutOffReplicas(host);
-      return simulation.after(away, [&simulation] { simulation.healAll(); });
+      return simulation.after(duration,
+                              [&simulation] { simulation.healAll(); });
     }
-    simulation.killFor(*process, away);
+    simulation.killFor(*process, duration);
   };
   const auto run = [&](std::uint32_t seconds) {
     for (std::uint32_t i = 0; i < seconds; ++i) {
@@ -333,37 +336,37 @@
   std::string violations;
   it.runFor(2s);
   const Revision before = it.configurationRevision();
-  const auto away = it.order(FirstZone, /*evacuate=*/true);
+  const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
   recordStep("evacuate");
   run(3 + draw(9));
   // The restore order may be in force from the moment it is sent.
   const TimePoint ended = it.Fleet.now();
   // Servers turn cold only while no requests go to the zone: entries learn of
   // it with the heartbeats, a second later.
-  const bool empty =
-      away->AcknowledgedAt && ended >= *away->AcknowledgedAt + EvacuationBound;
+  const bool empty = evacuation->AcknowledgedAt &&
+                     ended >= *evacuation->AcknowledgedAt + EvacuationBound;
   for (std::uint32_t i = 0; empty && i < it.Options.Servers; i += 3)
     if (draw(2) == 0)
       it.Fleet.makeServerCold(i);
-  const auto back = it.order(FirstZone, /*evacuate=*/false);
+  const auto restore = it.order(FirstZone, /*evacuate=*/false);
   recordStep("restore");
   run(8);
   it.runFor(6s);
   const auto add = [&](const std::string &what) {
     violations += (engines ? " engines: " : " plain: ") + what;
   };
-  if (away->AcknowledgedAt) {
+  if (evacuation->AcknowledgedAt) {
     const std::size_t sent = it.arrivalsIn(
-        FirstZone, *away->AcknowledgedAt + EvacuationBound, ended);
+        FirstZone, *evacuation->AcknowledgedAt + EvacuationBound, ended);
     if (sent > 0)
       add(std::to_string(sent) + " requests to an evacuated zone");
   }
   // The evacuation was acknowledged before the restore order was sent, so that
   // the zone must not be evacuated now.
-  if (back->AcknowledgedAt && away->AcknowledgedAt &&
-      *away->AcknowledgedAt < ended && it.isEvacuated(FirstZone) == true)
+  if (restore->AcknowledgedAt && evacuation->AcknowledgedAt &&
+      *evacuation->AcknowledgedAt < ended && it.isEvacuated(FirstZone) == true)
     add("the zone is evacuated again after its restore");
-  if (away->AcknowledgedAt && !back->AcknowledgedAt &&
+  if (evacuation->AcknowledgedAt && !restore->AcknowledgedAt &&
       it.isEvacuated(FirstZone) == false &&
       it.configurationRevision() != before + 2)
     add("an acknowledged evacuation was lost");
--- a/test/HttpTest.cpp
+++ b/test/HttpTest.cpp
@@ -166,13 +166,13 @@
 
 TEST_CASE("mutated requests don't crash the parser or yield surplus data") {
   // Mutates well-formed messages with a fixed seed.
-  const std::string sound[] = {
+  const std::string wellFormed[] = {
       "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello",
       "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"
       "0\r\n\r\n"};
   Random random(7);
   for (int round = 0; round < 20000; ++round) {
-    std::string bytes = sound[random.next() % 2];
+    std::string bytes = wellFormed[random.next() % 2];
     for (std::uint64_t n = random.next() % 4; n > 0; --n)
       bytes[random.next() % bytes.size()] = static_cast<char>(random.next());
     ParserUnderTest reading(HttpMessageKind::Requests);
--- a/test/QuarantineFleetTest.cpp
+++ b/test/QuarantineFleetTest.cpp
@@ -1,9 +1,10 @@
-// A request that crashes the server that runs it must be quarantined. Without a
-// quarantine such a request crashed one engine after another for as long as its
-// caller resent it: two processes per attempt, 49 and 58 in total, and about
-// eight other requests broke off with each process. Only the attempt itself
-// knew which servers had crashed; the next attempt has another id, mostly
-// arrives at another entry, and was treated as a new request.
+// Guards against a request that crashes one server after another for as long as
+// its caller resends it. Before there was a quarantine, such requests crashed
+// two engine processes with each attempt, 49 and 58 in all on one day, and
+// about eight other requests broke off with each process. This came about
+// because only the attempt itself knew which servers had crashed: the next
+// attempt had another id, mostly arrived at another entry, and was treated as a
+// new request.
 
 #include "pimentofront/Testkit.h"
 
@@ -61,11 +62,12 @@
       ++WronglyQuarantined;
   }
 
-  /// Sends load for \p load and resends each of \p crashing every 300 ms.
-  void run(Duration load, const std::vector<std::string> &crashing) {
+  /// Sends other requests for \p duration and meanwhile resends each of
+  /// \p crashing every 300 ms. Then runs on for 8 s.
+  void run(Duration duration, const std::vector<std::string> &crashing) {
     for (const std::string &it : crashing)
       Fleet.addCrashingRequest(it);
-    const TimePoint end = Fleet.now() + load;
+    const TimePoint end = Fleet.now() + duration;
     TimePoint nextCrashing = Fleet.now() + 1s;
     while (Fleet.now() < end) {
       send();
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -1,11 +1,11 @@
 // A server under pressure may report in its answers the maximum rate, in
-// requests per second, that it accepts from all entries together. Entries and
-// agents once ignored that header and only passed it on to the caller, so that
-// the limit had no effect: with a limit of 1.2 a server received 14 requests in
-// four seconds, with 1.0 it received 12. It was not a limit that each entry
-// applied for itself, since no entry's rate changed when the limit was
-// reported, nor did retries cause the excess, since no attempt was repeated
-// there.
+// requests per second, that it accepts from all entries together. Guards
+// against a limit without effect: entries and agents once ignored that header
+// and only passed it on to the caller, so that an engine with a limit of 1.2
+// received 14 requests in four seconds, and one with 1.0 received 12. Two other
+// causes were ruled out: no entry's rate changed when the limit was reported,
+// as it would if each entry had applied the whole limit for itself, and none of
+// these requests was a repeated attempt.
 
 #include "Schedules.h"
 #include "pimentofront/Testkit.h"
@@ -213,9 +213,9 @@
 /// entries, agents and the leader restart or are paused.
 /// \returns a description of each limit that was exceeded; empty if none was.
 std::string runSchedule(std::uint64_t seed) {
-  Random chance(seed);
+  Random rng(seed);
   const auto draw = [&](std::uint64_t n) {
-    return static_cast<std::uint32_t>(chance.next() % n);
+    return static_cast<std::uint32_t>(rng.next() % n);
   };
   const bool engines = draw(2) == 0;
   ForwardFleetOptions options = fleetOptions(seed, engines);
@@ -236,14 +236,14 @@
       process = simulation.leader();
     if (!process || !process->Alive || process->Frozen)
       return;
-    const Duration away = (200 + draw(3000)) * 1ms;
+    const Duration duration = (200 + draw(3000)) * 1ms;
     faults += "; " +
               std::to_string(toSeconds(it.Fleet.now().time_since_epoch())) +
               (kind == 3 ? " freeze " : " kill ") + process->Spec.Host.str() +
-              " for " + std::to_string(toSeconds(away));
+              " for " + std::to_string(toSeconds(duration));
     if (kind == 3)
-      return simulation.freezeFor(*process, away);
-    simulation.killFor(*process, away);
+      return simulation.freezeFor(*process, duration);
+    simulation.killFor(*process, duration);
   };
   it.runFor(4s);
   std::string violations;
@@ -315,11 +315,12 @@
 
 } // namespace
 
-// A server that rejects all new requests reports a backoff. It was once kept
-// with the attempt only and lost with it: while four of twelve engines asked
-// for three seconds, one entry sent five and six more requests to one of them.
-// An engine that rejects everything is idle, so that its agent estimated the
-// shortest wait and received a growing share of the load.
+// A server that rejects all new requests reports a backoff. Guards against
+// forgetting it with the attempt that received it: while four of twelve engines
+// asked each entry for three seconds, one entry sent five and six more requests
+// to one of them in that time. An engine that rejects everything is idle, so
+// that its agent offered the shortest wait and a growing share of the load went
+// there.
 TEST_CASE("a server that asks for a backoff gets no request until it is over",
           "[server-rest]") {
   for (const bool engines : {true, false})
@@ -371,8 +372,9 @@
 }
 
 // A server may announce in its answers that it is leaving before its
-// registration says so, or without the registration ever saying so. The header
-// was once passed on to the caller only.
+// registration says so, or without the registration ever saying so. Guards
+// against requests to such a server: the header was once passed on to the
+// caller and read by nothing else.
 TEST_CASE("a server that announces that it is leaving gets no more requests",
           "[server-leaving]") {
   for (const bool engines : {true, false})
@@ -382,8 +384,9 @@
       for (std::uint32_t i = 2; i < 5; ++i)
         it.Fleet.setFeedback(i, {.Leaving = true});
       it.runFor(10s);
-      // Its registrations don't say that it leaves, and its answers no longer
-      // do; it must still get no request until another process replaces it.
+      // The registrations don't say that the servers leave, and the answers no
+      // longer do. Each must still get no request until another process
+      // replaces it.
       for (std::uint32_t i = 2; i < 5; ++i)
         it.Fleet.setFeedback(i, {});
       it.runFor(5s);
@@ -396,8 +399,9 @@
     }
 }
 
-// A pause of an entry of less than a second isn't detected as a suspension, and
-// the entry sends at once all requests that were permitted during the pause.
+// A pause of an entry of less than a second isn't detected as a suspension, so
+// the entry then sends at once all requests that were permitted meanwhile.
+// Guards against exceeding the limit by them.
 TEST_CASE("a limit holds when an entry is paused for less than a second",
           "[limit-short-stops]") {
   for (const std::uint64_t seed : {8039U, 10537U})
--- a/test/platform/FakePlatformMain.cpp
+++ b/test/platform/FakePlatformMain.cpp
@@ -354,8 +354,8 @@
     enterPhase(Phase::Backoff);
   }
 
-  /// Each server has received one request and asked for a backoff: the next
-  /// caller is told when the first of them accepts requests again.
+  /// Each server has received one request and asked for a backoff: the answer
+  /// to the next caller must say when the first of them accepts requests again.
   void checkBackoff() {
     constexpr double MinRetryAfter = 0.1;
     const bool backsOff = Status == 503 && Body == "servers_rest\n";
--- a/test/platform/soak/FaultPlan.cpp
+++ b/test/platform/soak/FaultPlan.cpp
@@ -38,8 +38,8 @@
   return static_cast<std::size_t>(Rng.uniform() * static_cast<double>(n));
 }
 
-Duration FaultPlan::randomDuration(Duration least, Duration most) {
-  return least + fromSeconds(toSeconds(most - least) * Rng.uniform());
+Duration FaultPlan::randomDuration(Duration min, Duration max) {
+  return min + fromSeconds(toSeconds(max - min) * Rng.uniform());
 }
 
 void FaultPlan::schedule(TimePoint at, std::function<void()> action) {
--- a/test/platform/soak/FaultPlan.h
+++ b/test/platform/soak/FaultPlan.h
@@ -39,7 +39,7 @@
   void loseDisk(TimePoint now);
   void schedule(TimePoint at, std::function<void()> action);
   void recordFault(TimePoint now, const std::string &what);
-  Duration randomDuration(Duration least, Duration most);
+  Duration randomDuration(Duration min, Duration max);
   std::size_t randomIndex(std::size_t n);
 
   EventLoop &Loop;
