--- a/packages/testkit/pimentofront/src/Testkit/Ledger.h
+++ b/packages/testkit/pimentofront/src/Testkit/Ledger.h
@@ -68,8 +68,8 @@
   /// Checks that each adapter's live versions in \p state are those last
   /// accepted or those of a proposal that hasn't been answered.
   void checkState(TimePoint now, const Configuration &state);
-  /// Stops keeping and checking answer texts, for replays of many thousands of
-  /// requests.
+  /// Stops keeping and checking answer texts, and checking the versions that
+  /// requests are routed to, for replays of many thousands of requests.
   void discardTexts() { KeepTexts = false; }
   bool keepsTexts() const { return KeepTexts; }
 
