--- a/packages/account/pimentofront/src/Account/AccountTable.h
+++ b/packages/account/pimentofront/src/Account/AccountTable.h
@@ -18,7 +18,7 @@
   explicit AccountTable(std::vector<ClientAccount> accounts);
 
   /// \returns whether requests need a key, which they do if there are accounts.
-  bool required() const { return !Accounts.empty(); }
+  bool requiresKey() const { return !Accounts.empty(); }
   /// \returns the account that holds the key, or null. The pointer is valid for
   /// the lifetime of the table.
   const ClientAccount *findByKey(const KeyDigest &key) const;
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.cpp
@@ -54,16 +54,16 @@
   return units >= lease.TypicalUnits ? units : 0;
 }
 
-AllotmentCharge AllotmentLeases::take(TimePoint now, std::uint64_t key,
-                                      const ClientAccount &account,
-                                      double units) {
+AllotmentCharge AllotmentLeases::reserveUnits(TimePoint now, std::uint64_t key,
+                                              const ClientAccount &account,
+                                              double units) {
   assert(account.Limit.limited() &&
          "the account has no limit, so no units are taken for it");
   Lease &lease = Leases[account.Name];
   lease.Rate = account.Limit.PerSecond;
   endIfExpired(now, lease);
   recordUse(now, lease, units);
-  AllotmentCharge charge{.Now = AllotmentCharge::State::Reserved,
+  AllotmentCharge charge{.CurrentState = AllotmentCharge::State::Reserved,
                          .Account = account.Name,
                          .Units = std::ceil(units),
                          .Epoch = lease.Epoch};
@@ -72,16 +72,16 @@
     lease.Reserved += charge.Units;
     return charge;
   }
-  charge.Now = AllotmentCharge::State::Pending;
+  charge.CurrentState = AllotmentCharge::State::Pending;
   lease.Queue.push_back({.Key = key, .Units = charge.Units});
   Urgent = true;
   return charge;
 }
 
 void AllotmentLeases::spend(AllotmentCharge &charge) {
-  if (charge.Now != AllotmentCharge::State::Reserved)
+  if (charge.CurrentState != AllotmentCharge::State::Reserved)
     return;
-  charge.Now = AllotmentCharge::State::None;
+  charge.CurrentState = AllotmentCharge::State::None;
   const auto it = Leases.find(charge.Account);
   // The ledger already counts the units of an ended lease as spent.
   if (it == Leases.end() || charge.Epoch != it->second.Epoch)
@@ -94,7 +94,7 @@
 void AllotmentLeases::release(TimePoint now, std::uint64_t key,
                               AllotmentCharge &charge) {
   const AllotmentCharge::State before =
-      std::exchange(charge.Now, AllotmentCharge::State::None);
+      std::exchange(charge.CurrentState, AllotmentCharge::State::None);
   if (before == AllotmentCharge::State::None)
     return;
   const auto it = Leases.find(charge.Account);
@@ -218,13 +218,14 @@
       ++met;
       lease.Free -= waiting.Units;
       lease.Reserved += waiting.Units;
-      decisions.push_back({.Key = waiting.Key,
-                           .Charge = {.Now = AllotmentCharge::State::Reserved,
-                                      .Account = grant.Account,
-                                      .Units = waiting.Units,
-                                      .Epoch = lease.Epoch},
-                           .Level = grant.Level,
-                           .Age = now - queriedAt});
+      decisions.push_back(
+          {.Key = waiting.Key,
+           .Charge = {.CurrentState = AllotmentCharge::State::Reserved,
+                      .Account = grant.Account,
+                      .Units = waiting.Units,
+                      .Epoch = lease.Epoch},
+           .Level = grant.Level,
+           .Age = now - queriedAt});
     } else {
       const Duration extraDelay =
           fromSeconds(unitsAhead / std::max(lease.Rate, 1.0));
--- a/packages/account/pimentofront/src/Account/AllotmentLeases.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLeases.h
@@ -42,7 +42,7 @@
     /// The units are reserved: the request may be sent.
     Reserved,
   };
-  State Now = State::None;
+  State CurrentState = State::None;
   AccountName Account;
   double Units = 0;
   /// Epoch of the lease from which the units were taken.
@@ -67,7 +67,7 @@
                           const AllotmentDecision &) = default;
 
   bool granted() const {
-    return Charge.Now == AllotmentCharge::State::Reserved;
+    return Charge.CurrentState == AllotmentCharge::State::Reserved;
   }
 };
 
@@ -88,8 +88,8 @@
   /// Reserves the units of a request, or queues a query for them; onGrants()
   /// then returns the decision under \p key.
   /// \pre the account's allotment is limited.
-  AllotmentCharge take(TimePoint now, std::uint64_t key,
-                       const ClientAccount &account, double units);
+  AllotmentCharge reserveUnits(TimePoint now, std::uint64_t key,
+                               const ClientAccount &account, double units);
   /// Spends the reserved units, since a server may have run the request.
   void spend(AllotmentCharge &charge);
   /// Releases the units, since the request wasn't run and won't be.
--- a/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.cpp
@@ -151,7 +151,7 @@
     if (!account) {
       // The account has no limit, or none any more: grant all units asked for.
       AllotmentGrant all{.Account = use.Account,
-                         .Decided = Limits.required(),
+                         .Decided = Limits.requiresKey(),
                          .NeedsMet =
                              static_cast<std::uint32_t>(use.Needs.size())};
       for (const std::uint64_t it : use.Needs)
--- a/packages/forward/pimentofront/src/Forward/AccountController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AccountController.cpp
@@ -12,15 +12,15 @@
 }
 
 bool AccountController::ready(TimePoint now) const {
-  const bool required = Board.Table && Board.Table->accounts().required();
-  return !required ||
+  const bool requiresKey = Board.Table && Board.Table->accounts().requiresKey();
+  return !requiresKey ||
          (!Board.TableOutdated &&
           Board.confirmedWellWithin(now, Board.Options.RevocationBound));
 }
 
 KeyStatus AccountController::identify(TimePoint now, ForwardRequest &request) {
   const AccountTable &accounts = request.Table->accounts();
-  if (!accounts.required() || request.Route->Public)
+  if (!accounts.requiresKey() || request.Route->Public)
     return KeyStatus::Known;
   const auto &key = request.Traits.Key;
   request.Account = key ? accounts.findByKey(*key) : nullptr;
@@ -40,9 +40,9 @@
 bool AccountController::charge(TimePoint now, ForwardRequest &request) {
   if (!request.Account || !request.Account->Limit.limited())
     return true;
-  request.Charge =
-      Board.Leases.take(now, request.Key, *request.Account, unitsOf(request));
-  return request.Charge.Now == AllotmentCharge::State::Reserved;
+  request.Charge = Board.Leases.reserveUnits(now, request.Key, *request.Account,
+                                             unitsOf(request));
+  return request.Charge.CurrentState == AllotmentCharge::State::Reserved;
 }
 
 std::vector<AllotmentDecision>
@@ -59,7 +59,7 @@
 }
 
 void AccountController::onMayHaveRun(ForwardRequest &request) {
-  if (request.Charge.Now != AllotmentCharge::State::Reserved)
+  if (request.Charge.CurrentState != AllotmentCharge::State::Reserved)
     return;
   Board.Leases.spend(request.Charge);
   request.Charged = true;
--- a/packages/forward/pimentofront/src/Forward/AnswerController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AnswerController.cpp
@@ -85,7 +85,7 @@
 
 void AnswerController::onStreamBytes(TimePoint now, ForwardRequest &request,
                                      std::string_view bytes) {
-  std::string events = request.Events.take(bytes);
+  std::string events = request.Events.feed(bytes);
   if (events.empty())
     return;
   if (!request.Attempt->FirstEventAt) {
--- a/packages/forward/pimentofront/src/Forward/AttemptController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.cpp
@@ -393,7 +393,7 @@
     Board.Servers.ejectAgent(now, agent);
   request->Tried.push_back({agent, message.Reason, message.Load,
                             request->Attempt->OnlyIfResident,
-                            message.RetryAfter, message.Holds});
+                            message.RetryAfter, message.HoldsAdapter});
   request->LastRefusal = message.Reason;
   if (!isConditionalRefusal(message.Reason))
     request->RetryAfter = std::max(request->RetryAfter, message.RetryAfter);
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
@@ -22,7 +22,8 @@
   const double scale = std::min(ScaleAtCut + growth, 1.0);
   const double share = options.UsableShare * cap / std::max(entries, 1U);
   const auto scaledShare = static_cast<std::uint32_t>(share * scale);
-  return {.Open = std::max(scaledShare, options.MinOpen), .Kept = scaledShare};
+  return {.Open = std::max(scaledShare, options.MinOpen),
+          .MaxIdle = scaledShare};
 }
 
 void ConnectionShare::recordRejection(TimePoint now,
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.h
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.h
@@ -18,7 +18,7 @@
   /// Maximum of idle connections that are kept for reuse. Lower than Open if
   /// the entry's share is less than the minimum that it needs; the connections
   /// beyond it are then closed after their answers.
-  std::uint32_t Kept = std::numeric_limits<std::uint32_t>::max();
+  std::uint32_t MaxIdle = std::numeric_limits<std::uint32_t>::max();
   friend auto operator<=>(const ConnectionLimits &,
                           const ConnectionLimits &) = default;
 };
--- a/packages/forward/pimentofront/src/Forward/EventStream.cpp
+++ b/packages/forward/pimentofront/src/Forward/EventStream.cpp
@@ -55,7 +55,7 @@
   return true;
 }
 
-std::string EventStream::take(std::string_view bytes) {
+std::string EventStream::feed(std::string_view bytes) {
   // The empty line that ends an event may be split between two pieces.
   constexpr std::size_t MaxTerminatorLength = 3;
   std::size_t from = Partial.size() > MaxTerminatorLength
--- a/packages/forward/pimentofront/src/Forward/EventStream.h
+++ b/packages/forward/pimentofront/src/Forward/EventStream.h
@@ -20,7 +20,7 @@
   explicit EventStream(std::optional<std::uint64_t> last) : Last(last) {}
 
   /// \returns the events that \p bytes complete.
-  std::string take(std::string_view bytes);
+  std::string feed(std::string_view bytes);
   /// Discards an incomplete event of the former server, since another server
   /// resumes the stream.
   void restart() { Partial.clear(); }
--- a/packages/forward/pimentofront/src/Forward/ForwardBoard.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardBoard.h
@@ -24,10 +24,10 @@
   Duration PermitTimeout = std::chrono::milliseconds(250);
   /// A server whose host is suspected to be gone is given up when it has sent
   /// nothing for this long: enough time to process a prompt of usual size.
-  Duration LostSilence = std::chrono::milliseconds(500);
+  Duration SuspectSilenceTimeout = std::chrono::milliseconds(500);
   /// Such a server is given up no sooner than this long after the suspicion; a
   /// byte that it sends in this time clears the suspicion.
-  Duration LostGrace = std::chrono::milliseconds(200);
+  Duration SuspectGracePeriod = std::chrono::milliseconds(200);
   /// Longest time for which a revoked key is still accepted, counted from the
   /// acknowledgement of the configuration that revoked it. Holds for entries
   /// that are partitioned, stalled or suspended, too.
@@ -279,10 +279,10 @@
   Unknown,
 };
 /// Submits a command for the replicas to decide.
-struct AskReplicas {
+struct ProposeToReplicas {
   std::uint64_t Nonce = 0;
-  CommandBody Question;
-  Duration GiveUpAfter = Duration::zero();
+  CommandBody Proposal;
+  Duration DecisionTimeout = Duration::zero();
 };
 /// Sends a caller a complete answer.
 struct ReplyComplete {
@@ -309,7 +309,7 @@
 using ForwardCommand =
     std::variant<SendToAgent, SendUpstream, CancelUpstream, IgnoreUpstream,
                  ReplyComplete, ReplyHead, ReplyPiece, ReplyEnd, ReplyAbort,
-                 CheckServer, AskReplicas>;
+                 CheckServer, ProposeToReplicas>;
 
 /// \class ForwardEvent
 /// \ingroup Forward
--- a/packages/forward/pimentofront/src/Forward/ForwardController.cpp
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.cpp
@@ -195,7 +195,7 @@
 
 bool ForwardController::isChargeOverdue(TimePoint now,
                                         const ForwardRequest &request) const {
-  return request.Charge.Now == AllotmentCharge::State::Pending &&
+  return request.Charge.CurrentState == AllotmentCharge::State::Pending &&
          now >= Deferrals.deferLimit(request);
 }
 
@@ -289,8 +289,9 @@
   const TimePoint lastReceivedAt =
       std::max(attempt.SentAt, attempt.LastReceivedAt);
   const bool suspected = attempt.SuspectedAt > lastReceivedAt;
-  return suspected && now >= lastReceivedAt + Board.Options.LostSilence &&
-         now >= attempt.SuspectedAt + Board.Options.LostGrace;
+  return suspected &&
+         now >= lastReceivedAt + Board.Options.SuspectSilenceTimeout &&
+         now >= attempt.SuspectedAt + Board.Options.SuspectGracePeriod;
 }
 
 std::vector<ForwardCommand> ForwardController::takeCommands() {
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.cpp
@@ -86,7 +86,7 @@
 std::uint64_t QuarantineController::ask(CommandBody body,
                                         Duration giveUpAfter) {
   Board.Commands.push_back(
-      AskReplicas{++LastNonce, std::move(body), giveUpAfter});
+      ProposeToReplicas{++LastNonce, std::move(body), giveUpAfter});
   return LastNonce;
 }
 
--- a/packages/forward/pimentofront/src/Forward/RoutingDocument.cpp
+++ b/packages/forward/pimentofront/src/Forward/RoutingDocument.cpp
@@ -41,7 +41,7 @@
   if (ColdPerSecond <= 0)
     return {};
   return {.PerThousandSeconds = toPerThousandSeconds(ColdPerSecond),
-          .Left = left};
+          .Remaining = left};
 }
 
 void RoutingDocument::check(Findings &findings) const {
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -318,7 +318,7 @@
   if (static_cast<double>(ejectedCount) >=
       Options.MaxEjectedShare * static_cast<double>(Agents.size()))
     return;
-  Agents[agent->first].EjectedUntil = now + Options.EjectTime;
+  Agents[agent->first].EjectedUntil = now + Options.OutlierEjectionTime;
   // Otherwise its first failure after the ejection would eject it again.
   server.FailureShare = mean;
 }
--- a/packages/forward/pimentofront/src/Forward/ServerSet.h
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.h
@@ -78,10 +78,11 @@
   /// Weight of the newest answer in the share of failures; 0.2 averages over
   /// about the last five answers.
   double FailureWeight = 0.2;
-  /// An engine is ejected for EjectTime when its share of failures exceeds the
-  /// mean of its service by this much. Two failures in a row suffice.
+  /// An engine is ejected for OutlierEjectionTime when its share of failures
+  /// exceeds the mean of its service by this much. Two failures in a row
+  /// suffice.
   double EjectThreshold = 0.3;
-  Duration EjectTime = std::chrono::seconds(2);
+  Duration OutlierEjectionTime = std::chrono::seconds(2);
   /// Maximum fraction of the engines that may be ejected at the same time.
   double MaxEjectedShare = 0.34;
   /// Added to a server's score, as a fraction of its slots, per unit by which
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -88,7 +88,7 @@
   } else if (const auto *began = std::get_if<AttemptBegan>(&message)) {
     Controller.onBegan(now, *began);
   } else if (const auto *limit = std::get_if<RateLimitReport>(&message)) {
-    Controller.onRateLimitSeen(now, *limit);
+    Controller.onRateLimitReport(now, *limit);
   } else if (const auto *profile = std::get_if<EngineProfile>(&message)) {
     applyProfile(now, *profile);
   }
--- a/packages/node/pimentofront/src/Node/EntryNode.cpp
+++ b/packages/node/pimentofront/src/Node/EntryNode.cpp
@@ -61,8 +61,8 @@
 
 void EntryNode::onReplicaMessage(TimePoint now, const Message &message) {
   const FeedUpdate update = Feed.onMessage(now, message);
-  if (update.DrainsChanged)
-    Controller.onDrainsChanged();
+  if (update.AvailabilityChanged)
+    Controller.onAvailabilityChanged();
   if (update.Members) {
     Controller.onMembers(now, *update.Members);
     dropStaleAgentLinks(now);
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -97,7 +97,7 @@
     Controller.onMembers(now, *update.Members);
     dropLinks(now, Agents.staleLinks(Controller.board().Servers.agents()));
   }
-  if (update.DrainsChanged)
+  if (update.AvailabilityChanged)
     Controller.onEvacuatedZones(now, evacuatedZones());
   if (update.Subscribers)
     Controller.onEntryCount(now, *update.Subscribers);
@@ -156,9 +156,10 @@
     Network.send(*link, *report);
 }
 
-void ForwardNode::askReplicas(TimePoint now, const AskReplicas &question) {
+void ForwardNode::proposeToReplicas(TimePoint now,
+                                    const ProposeToReplicas &question) {
   Proposals.add(
-      Command{.Body = question.Question}, now + question.GiveUpAfter,
+      Command{.Body = question.Proposal}, now + question.DecisionTimeout,
       [this, nonce = question.Nonce](TimePoint at, const auto &outcome) {
         Controller.onDecision(at, nonce, outcome);
       });
@@ -314,8 +315,8 @@
   for (ForwardCommand &command : Controller.takeCommands()) {
     if (const auto *it = std::get_if<SendToAgent>(&command))
       sendToAgent(now, *it);
-    else if (const auto *question = std::get_if<AskReplicas>(&command))
-      askReplicas(now, *question);
+    else if (const auto *question = std::get_if<ProposeToReplicas>(&command))
+      proposeToReplicas(now, *question);
     else
       Sink.onCommand(std::move(command));
   }
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.cpp
@@ -71,7 +71,7 @@
   Replica.onReceived(now);
   FeedUpdate update;
   if (const auto *it = std::get_if<ConfigurationUpdate>(&message)) {
-    update.DrainsChanged = Copy.apply(*it);
+    update.AvailabilityChanged = Copy.apply(*it);
     // The update is complete: reports the revision in force at once and has it
     // confirmed.
     if (!it->Partial) {
--- a/packages/node/pimentofront/src/Node/ReplicaFeed.h
+++ b/packages/node/pimentofront/src/Node/ReplicaFeed.h
@@ -27,7 +27,7 @@
 struct FeedUpdate {
   bool Configuration = false;
   /// Hosts or zones were taken out of use, or put back into use.
-  bool DrainsChanged = false;
+  bool AvailabilityChanged = false;
   std::optional<MemberUpdate> Members;
   std::optional<QuarantineUpdate> Quarantine;
   /// Number of processes that subscribe to the configuration, this one
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -226,13 +226,14 @@
       isConditionalRefusal(decision.Reason)
           ? decision.RetryAfter
           : withJitter(Board.Jitter, decision.RetryAfter);
-  Board.Commands.push_back(SendToEntry{entry, AttemptRefused{
-                                                  .Attempt = attempt,
-                                                  .Reason = decision.Reason,
-                                                  .RetryAfter = retryAfter,
-                                                  .Load = figures,
-                                                  .Holds = decision.Holds,
-                                              }});
+  Board.Commands.push_back(
+      SendToEntry{entry, AttemptRefused{
+                             .Attempt = attempt,
+                             .Reason = decision.Reason,
+                             .RetryAfter = retryAfter,
+                             .Load = figures,
+                             .HoldsAdapter = decision.HoldsAdapter,
+                         }});
 }
 
 void AdmissionController::onExecute(TimePoint now, EntryLink entry,
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.h
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.h
@@ -37,7 +37,7 @@
     RefusalReason Reason = RefusalReason::None;
     Duration RetryAfter = Duration::zero();
     /// The engine holds the adapter: it is resident or being loaded.
-    bool Holds = false;
+    bool HoldsAdapter = false;
   };
   Decision evaluate(TimePoint now, const ExecuteRequest &request) const;
   Decision evaluateService(const ExecuteRequest &request) const;
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -104,8 +104,8 @@
     Board.Prefill.learn(it->second.PromptTokens, message.FirstEvent);
 }
 
-void AgentController::onRateLimitSeen(TimePoint now,
-                                      const RateLimitReport &message) {
+void AgentController::onRateLimitReport(TimePoint now,
+                                        const RateLimitReport &message) {
   // Accept a limit only from the engine's current process.
   if (!Board.Running.contains(message.Attempt))
     return;
@@ -127,7 +127,7 @@
   if (!Board.EngineStartedAt)
     return;
   ColdStart cold = Board.Cold;
-  cold.Left -= now - *Board.EngineStartedAt;
+  cold.Remaining -= now - *Board.EngineStartedAt;
   applyColdStart(now, cold);
 }
 
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -53,7 +53,7 @@
   /// The entries report that another process of the engine runs now.
   void onProcessChanged() { Board.Pacer.reset(); }
   /// An entry reports the engine's rate limit as an answer named it.
-  void onRateLimitSeen(TimePoint now, const RateLimitReport &message);
+  void onRateLimitReport(TimePoint now, const RateLimitReport &message);
   /// The configuration names the engine's number of adapter slots, its batch
   /// capacity, its cache size and its cold start.
   void onProfile(TimePoint now, const EngineProfile &profile);
--- a/packages/serving/pimentofront/src/Serving/EntryController.cpp
+++ b/packages/serving/pimentofront/src/Serving/EntryController.cpp
@@ -472,7 +472,7 @@
          Board.Configuration.isEvacuated(member.Zone);
 }
 
-void EntryController::onDrainsChanged() {
+void EntryController::onAvailabilityChanged() {
   for (auto &[host, member] : Board.Members)
     member.Drained = isDrainedOrEvacuated(member.Record);
 }
--- a/packages/serving/pimentofront/src/Serving/EntryController.h
+++ b/packages/serving/pimentofront/src/Serving/EntryController.h
@@ -40,7 +40,7 @@
 
   /// Updates the members; attempts on hosts that are gone count as lost.
   void onMembers(TimePoint now, const MemberUpdate &update);
-  void onDrainsChanged();
+  void onAvailabilityChanged();
 
   /// Refuses every new request from now on; those in progress continue.
   void stop() { Board.Stopping = true; }
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.cpp
@@ -123,7 +123,7 @@
     if (refusal && refusal->Wait <= onTime)
       return Route{.Host = hosts[i]->Record.Host};
     const Duration wait = refusal ? refusal->Wait : hosts[i]->Load.PrefillWait;
-    const bool isCopy = i >= own && !(refusal && refusal->Holds);
+    const bool isCopy = i >= own && !(refusal && refusal->HoldsAdapter);
     const std::pair rank(refusal == nullptr,
                          wait + (isCopy ? copyCost : Duration::zero()));
     if (best && rank >= least)
--- a/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
+++ b/packages/serving/pimentofront/src/Serving/RequestPacer.cpp
@@ -19,7 +19,7 @@
 }
 
 bool RequestPacer::applyCold(TimePoint now, const ColdStart &cold) {
-  const TimePoint until = now + std::min(cold.Left, MaxColdTime);
+  const TimePoint until = now + std::min(cold.Remaining, MaxColdTime);
   if (!cold.isCold() || until <= ColdUntil)
     return false;
   refill(now);
--- a/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
+++ b/packages/serving/pimentofront/src/Serving/RoutingPolicy.h
@@ -45,7 +45,7 @@
   /// Wait of this request there, as the host estimates it.
   Duration Wait = Duration::zero();
   /// The host has the adapter, or is loading it.
-  bool Holds = false;
+  bool HoldsAdapter = false;
 };
 
 /// \class RouteQuery
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.cpp
@@ -114,7 +114,7 @@
 };
 
 ForwardFleet::ForwardFleet(const ForwardFleetOptions &options)
-    : Options(options), Sim(options.World) {
+    : Options(options), Sim(options.Simulation) {
   std::optional<EngineSpec> engine;
   if (options.Engines)
     engine = EngineSpec{.BatchCapacity = Slots,
--- a/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
+++ b/packages/testkit/pimentofront/src/Testkit/ForwardFleet.h
@@ -9,7 +9,7 @@
 /// \class ForwardFleetOptions
 /// \ingroup Testkit
 struct ForwardFleetOptions {
-  SimulationOptions World;
+  SimulationOptions Simulation;
   std::uint32_t Replicas = 3;
   std::uint32_t Entries = 4;
   std::uint32_t Servers = 12;
@@ -120,8 +120,9 @@
   void runFor(Duration d) { Sim.runUntil(Sim.now() + d); }
   SimulatedProcess &entry(std::uint32_t i);
   SimulatedProcess &replica(std::uint32_t i);
-  World &simulation() { return Sim; }
-  /// Cuts the links between \p host and all replicas until World::healAll().
+  Simulation &simulation() { return Sim; }
+  /// Cuts the links between \p host and all replicas until
+  /// Simulation::healAll().
   void cutOffReplicas(const HostName &host);
 
   void addCrashingRequest(const std::string &content) {
@@ -196,7 +197,7 @@
   void endCall(std::uint64_t key, bool complete);
 
   ForwardFleetOptions Options;
-  World Sim;
+  Simulation Sim;
   TestHeaderCodec Headers;
   std::unique_ptr<FixedDocument> Document;
   std::vector<std::string> Addresses;
--- a/packages/testkit/pimentofront/src/Testkit/Replay.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Replay.cpp
@@ -268,7 +268,7 @@
   const PolicySpec &Policy;
   const Trace &Requests;
   ReplayFault Fault;
-  World Sim;
+  Simulation Sim;
   std::vector<std::string> Addresses;
   TimePoint Begin;
   std::uint64_t LastId = 0;
--- a/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Scenario.cpp
@@ -75,7 +75,7 @@
   using Action = void (Impl::*)(const Line &);
   static const std::map<std::string, Action> &actions();
 
-  World Sim;
+  Simulation Sim;
   ScenarioResult Result;
   std::vector<std::string> Replicas;
   std::map<std::string, std::string> Commands;
@@ -312,7 +312,7 @@
                  .Method = "reserve",
                  .Payload = line.named("payload", "one of " + line.word(0)),
                  .Idempotent = false,
-                 .IssuedAtMilliseconds = World({}).milliseconds(),
+                 .IssuedAtMilliseconds = Simulation({}).milliseconds(),
                  .Timeout = std::chrono::seconds(seconds)});
   }
 
@@ -345,11 +345,11 @@
 
   bool inForce() const {
     Revision newest = 0;
-    for (SimulatedProcess *it : const_cast<World &>(Sim).processes())
+    for (SimulatedProcess *it : const_cast<Simulation &>(Sim).processes())
       if (it->Alive && it->Replica)
         newest =
             std::max(newest, it->Replica->state().configuration().revision());
-    for (SimulatedProcess *it : const_cast<World &>(Sim).processes())
+    for (SimulatedProcess *it : const_cast<Simulation &>(Sim).processes())
       if (it->Alive && it->Entry &&
           it->Entry->configuration().revision() != newest)
         return false;
--- a/packages/testkit/pimentofront/src/Testkit/SimulatedProcess.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/SimulatedProcess.cpp
@@ -4,7 +4,7 @@
 
 namespace pimentofront::testkit {
 
-SimulatedProcess::SimulatedProcess(World &simulation, ProcessSpec spec)
+SimulatedProcess::SimulatedProcess(Simulation &simulation, ProcessSpec spec)
     : Owner(simulation), Spec(std::move(spec)) {}
 SimulatedProcess::~SimulatedProcess() = default;
 
--- a/packages/testkit/pimentofront/src/Testkit/Simulation.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/Simulation.cpp
@@ -8,25 +8,25 @@
 // Virtual time
 //===----------------------------------------------------------------------===//
 
-World::World(const SimulationOptions &options)
+Simulation::Simulation(const SimulationOptions &options)
     : Store(*this, options.Store),
       Service(*this, RequestLedger, options.ServiceDelay), Rng(options.Seed),
       Options(options) {}
 
-World::~World() = default;
+Simulation::~Simulation() = default;
 
-std::uint64_t World::milliseconds() const {
+std::uint64_t Simulation::milliseconds() const {
   constexpr std::uint64_t Epoch = 1'790'000'000'000;
   constexpr std::int64_t MicrosPerMilli = 1000;
   return Epoch + static_cast<std::uint64_t>(Now.time_since_epoch().count() /
                                             MicrosPerMilli);
 }
 
-void World::after(Duration delay, std::function<void()> action) {
+void Simulation::after(Duration delay, std::function<void()> action) {
   Events.push({Now + delay, ++Sequence, std::move(action)});
 }
 
-void World::runUntil(TimePoint end) {
+void Simulation::runUntil(TimePoint end) {
   while (!Events.empty() && Events.top().At <= end) {
     Event event = Events.top();
     Events.pop();
@@ -40,7 +40,7 @@
 // Processes
 //===----------------------------------------------------------------------===//
 
-SimulatedProcess &World::add(const ProcessSpec &spec) {
+SimulatedProcess &Simulation::add(const ProcessSpec &spec) {
   auto &slot = Processes[spec.Host];
   slot = std::make_unique<SimulatedProcess>(*this, spec);
   if (spec.IsAgent && !spec.Agent.Agent.BaseModel.empty())
@@ -49,25 +49,25 @@
   return *slot;
 }
 
-SimulatedProcess &World::process(const HostName &host) {
+SimulatedProcess &Simulation::process(const HostName &host) {
   return *Processes.at(host);
 }
 
-std::vector<SimulatedProcess *> World::processes() {
+std::vector<SimulatedProcess *> Simulation::processes() {
   std::vector<SimulatedProcess *> result;
   for (auto &[host, it] : Processes)
     result.push_back(it.get());
   return result;
 }
 
-SimulatedProcess *World::leader() {
+SimulatedProcess *Simulation::leader() {
   for (auto &[host, it] : Processes)
     if (it->Alive && it->Replica && it->Replica->log().holdsLease(Now))
       return it.get();
   return nullptr;
 }
 
-void World::start(SimulatedProcess &process) {
+void Simulation::start(SimulatedProcess &process) {
   if (process.Alive)
     return;
   process.Alive = true;
@@ -129,7 +129,7 @@
   tick(spec.Host, process.Incarnation);
 }
 
-void World::kill(SimulatedProcess &process) {
+void Simulation::kill(SimulatedProcess &process) {
   if (!process.Alive)
     return;
   process.Alive = false;
@@ -147,7 +147,7 @@
   process.Forward.reset();
 }
 
-void World::wake(SimulatedProcess &process) {
+void Simulation::wake(SimulatedProcess &process) {
   process.Frozen = false;
   // After a pause, pending messages and expired timers may run in either order.
   // Here the messages run first.
@@ -157,12 +157,12 @@
     it();
 }
 
-void World::killFor(SimulatedProcess &process, Duration duration) {
+void Simulation::killFor(SimulatedProcess &process, Duration duration) {
   kill(process);
   after(duration, [this, &process] { start(process); });
 }
 
-void World::freezeFor(SimulatedProcess &process, Duration duration) {
+void Simulation::freezeFor(SimulatedProcess &process, Duration duration) {
   freeze(process);
   after(duration, [this, &process] {
     if (process.Alive && process.Frozen)
@@ -170,13 +170,13 @@
   });
 }
 
-void World::loseDisk(SimulatedProcess &process) {
+void Simulation::loseDisk(SimulatedProcess &process) {
   kill(process);
   process.Disk.reset();
 }
 
-void World::atProcess(const HostName &host, std::uint64_t incarnation,
-                      std::function<void(SimulatedProcess &)> action) {
+void Simulation::atProcess(const HostName &host, std::uint64_t incarnation,
+                           std::function<void(SimulatedProcess &)> action) {
   SimulatedProcess &process = *Processes.at(host);
   if (!process.Alive || process.Incarnation != incarnation)
     return;
@@ -189,7 +189,7 @@
   action(process);
 }
 
-void World::probeEngine(SimulatedProcess &process) {
+void Simulation::probeEngine(SimulatedProcess &process) {
   FakeEngine &engine = *process.Engine;
   AgentController &controller = process.Agent->controller();
   const std::uint64_t currentStart = engine.down() ? 0 : engine.startedAt();
@@ -206,7 +206,7 @@
   process.Agent->flush(Now);
 }
 
-void World::tick(const HostName &host, std::uint64_t incarnation) {
+void Simulation::tick(const HostName &host, std::uint64_t incarnation) {
   SimulatedProcess &process = *Processes.at(host);
   if (!process.Alive || process.Incarnation != incarnation)
     return;
@@ -237,7 +237,7 @@
 // Callers and operators
 //===----------------------------------------------------------------------===//
 
-RequestKey World::request(SimulatedProcess &entry, CallerRequest request) {
+RequestKey Simulation::request(SimulatedProcess &entry, CallerRequest request) {
   request.Key = ++LastKey;
   RequestLedger.recordSubmitted(Now, request.Key, request);
   if (!entry.Alive)
@@ -250,8 +250,8 @@
   return request.Key;
 }
 
-void World::command(SimulatedProcess &entry, const Command &command,
-                    CommandCallback done) {
+void Simulation::command(SimulatedProcess &entry, const Command &command,
+                         CommandCallback done) {
   if (!entry.Alive)
     return done(std::nullopt);
   atProcess(entry.Spec.Host, entry.Incarnation, [=](SimulatedProcess &it) {
--- a/packages/testkit/pimentofront/src/Testkit/Simulation.h
+++ b/packages/testkit/pimentofront/src/Testkit/Simulation.h
@@ -47,7 +47,7 @@
       MakeForward;
 };
 
-class World;
+class Simulation;
 
 /// \class SimulatedProcess
 /// \ingroup Testkit
@@ -56,7 +56,7 @@
                          public BackendDriver,
                          public AnswerSink {
 public:
-  SimulatedProcess(World &simulation, ProcessSpec spec);
+  SimulatedProcess(Simulation &simulation, ProcessSpec spec);
   ~SimulatedProcess() override;
 
   LinkId open(const std::string &address, LinkPurpose purpose) override;
@@ -71,7 +71,7 @@
   void onFinal(RequestKey key, const KindName &kind,
                const FinalAnswer &answer) override;
 
-  World &Owner;
+  Simulation &Owner;
   ProcessSpec Spec;
   bool Alive = false;
   bool Frozen = false;
@@ -105,14 +105,14 @@
   Duration TickPeriod = std::chrono::milliseconds(20);
 };
 
-/// \class World
+/// \class Simulation
 /// \ingroup Testkit
 /// \brief The simulation: processes, the links between them, and the virtual
 /// clock.
-class World : public EventScheduler, public WallClock {
+class Simulation : public EventScheduler, public WallClock {
 public:
-  explicit World(const SimulationOptions &options);
-  ~World() override;
+  explicit Simulation(const SimulationOptions &options);
+  ~Simulation() override;
 
   TimePoint now() const override { return Now; }
   std::uint64_t milliseconds() const override;
--- a/packages/testkit/pimentofront/src/Testkit/SimulationLinks.cpp
+++ b/packages/testkit/pimentofront/src/Testkit/SimulationLinks.cpp
@@ -12,11 +12,12 @@
 
 } // namespace
 
-bool World::isCut(const HostName &from, const HostName &to) const {
+bool Simulation::isCut(const HostName &from, const HostName &to) const {
   return Cuts.contains({from, to});
 }
 
-Duration World::delayBetween(const HostName &from, const HostName &to) const {
+Duration Simulation::delayBetween(const HostName &from,
+                                  const HostName &to) const {
   const auto slow = LinkDelays.find({from, to});
   if (slow != LinkDelays.end())
     return slow->second;
@@ -25,8 +26,8 @@
   return same ? Options.InZone : Options.BetweenZones;
 }
 
-LinkId World::openLink(SimulatedProcess &from, const std::string &address,
-                       LinkPurpose purpose) {
+LinkId Simulation::openLink(SimulatedProcess &from, const std::string &address,
+                            LinkPurpose purpose) {
   // In the simulation a host's address is its name.
   const LinkId id = ++LastLink;
   LinkEnds[id] = {.Host = from.Spec.Host,
@@ -37,7 +38,7 @@
   return id;
 }
 
-void World::connect(LinkId ours) {
+void Simulation::connect(LinkId ours) {
   const LinkEnd end = LinkEnds.at(ours);
   const auto peer = Processes.find(end.PeerHost);
   const bool reachable = peer != Processes.end() &&
@@ -75,7 +76,7 @@
     // The kernel accepts connections for a frozen process, but the process
     // doesn't send its greeting.
     atProcess(end.PeerHost, it->second.Incarnation, [=](SimulatedProcess &p) {
-      World &simulation = p.Owner;
+      Simulation &simulation = p.Owner;
       const Hello greeting = hello(end.PeerHost, true, end.Purpose);
       simulation.after(
           delay, [=, &simulation] { simulation.notifyOpen(ours, greeting); });
@@ -83,7 +84,7 @@
   });
 }
 
-void World::notifyOpen(LinkId link, const Hello &hello) {
+void Simulation::notifyOpen(LinkId link, const Hello &hello) {
   const auto it = LinkEnds.find(link);
   if (it == LinkEnds.end())
     return;
@@ -102,14 +103,14 @@
   });
 }
 
-void World::sendUnsent(LinkId link) {
+void Simulation::sendUnsent(LinkId link) {
   const std::vector<Message> unsent =
       std::exchange(LinkEnds.at(link).Unsent, {});
   for (const Message &it : unsent)
     sendOn(link, it);
 }
 
-void World::sendOn(LinkId link, const Message &message) {
+void Simulation::sendOn(LinkId link, const Message &message) {
   const auto it = LinkEnds.find(link);
   if (it == LinkEnds.end())
     return;
@@ -130,7 +131,7 @@
         [this, to = end.Peer, message] { deliver(to, message); });
 }
 
-void World::deliver(LinkId to, const Message &message) {
+void Simulation::deliver(LinkId to, const Message &message) {
   const auto it = LinkEnds.find(to);
   if (it == LinkEnds.end())
     return;
@@ -151,7 +152,7 @@
   });
 }
 
-void World::notifyClosed(LinkId link) {
+void Simulation::notifyClosed(LinkId link) {
   const auto it = LinkEnds.find(link);
   if (it == LinkEnds.end())
     return;
@@ -168,7 +169,7 @@
   });
 }
 
-void World::closeLink(LinkId link) {
+void Simulation::closeLink(LinkId link) {
   const auto it = LinkEnds.find(link);
   if (it == LinkEnds.end())
     return;
@@ -183,7 +184,7 @@
   after(delay, [this, peer = end.Peer] { notifyClosed(peer); });
 }
 
-void World::dropLinksOf(const HostName &host) {
+void Simulation::dropLinksOf(const HostName &host) {
   std::vector<LinkId> links;
   for (const auto &[link, end] : LinkEnds)
     if (end.Host == host)
@@ -192,7 +193,7 @@
     closeLink(it);
 }
 
-void World::expireUnsent() {
+void Simulation::expireUnsent() {
   std::vector<LinkId> expired;
   for (const auto &[link, end] : LinkEnds)
     if (!end.Unsent.empty() && end.UnsentSince + UserTimeout < Now)
@@ -203,11 +204,11 @@
   }
 }
 
-void World::cut(const HostName &from, const HostName &to) {
+void Simulation::cut(const HostName &from, const HostName &to) {
   Cuts.insert({from, to});
 }
 
-void World::healAll() {
+void Simulation::healAll() {
   Cuts.clear();
   std::vector<LinkId> links;
   for (const auto &[link, end] : LinkEnds)
@@ -218,7 +219,8 @@
       sendUnsent(it);
 }
 
-void World::slow(const HostName &from, const HostName &to, Duration delay) {
+void Simulation::slow(const HostName &from, const HostName &to,
+                      Duration delay) {
   LinkDelays[{from, to}] = delay;
 }
 
--- a/packages/wire/pimentofront/src/Wire/AttemptMessages.h
+++ b/packages/wire/pimentofront/src/Wire/AttemptMessages.h
@@ -232,8 +232,9 @@
   Duration RetryAfter = Duration::zero();
   AgentLoad Load;
   /// The adapter is loaded or being loaded.
-  bool Holds = false;
-  PIMENTOFRONT_FIELDS(AttemptRefused, Attempt, Reason, RetryAfter, Load, Holds)
+  bool HoldsAdapter = false;
+  PIMENTOFRONT_FIELDS(AttemptRefused, Attempt, Reason, RetryAfter, Load,
+                      HoldsAdapter)
 };
 
 /// Agent to entry: a part of the answer.
--- a/packages/wire/pimentofront/src/Wire/RateLimit.h
+++ b/packages/wire/pimentofront/src/Wire/RateLimit.h
@@ -49,12 +49,12 @@
   /// Requests per 1,000 seconds.
   std::uint64_t PerThousandSeconds = 0;
   /// Remaining time of the cold start; zero if the server is not cold.
-  Duration Left = Duration::zero();
-  bool isCold() const { return Left > Duration::zero(); }
+  Duration Remaining = Duration::zero();
+  bool isCold() const { return Remaining > Duration::zero(); }
   double perSecond() const {
     return static_cast<double>(PerThousandSeconds) / detail::RateSeconds;
   }
-  PIMENTOFRONT_FIELDS(ColdStart, PerThousandSeconds, Left)
+  PIMENTOFRONT_FIELDS(ColdStart, PerThousandSeconds, Remaining)
 };
 
 /// Entry to agent: what the answer to an attempt said of the engine's limit.
--- a/scripts/check-guards.sh
+++ b/scripts/check-guards.sh
@@ -68,7 +68,7 @@
   'if (changedAt(it) <= Records.revision())' 'if (false)' \
   "a copy keeps its revision after older records and partial updates"
 guard "an engine that was found running is not used before it has settled" \
-  $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settle)' 'if (false)' \
+  $serving/AgentController.cpp 'if (now < *Board.EngineIdleSince + settleTime)' 'if (false)' \
   "an agent that starts beside a running engine waits until the engine has settled"
 guard "a replica doesn't use a link that another node of its process opened" \
   packages/node/pimentofront/src/Node/ReplicaNode.cpp \
--- a/test/AgentTest.cpp
+++ b/test/AgentTest.cpp
@@ -455,7 +455,7 @@
   agent.Controller.onExecute(now, Entry, first);
   agent.load(now, "a");
   agent.take<StartGeneration>();
-  agent.Controller.onRateLimitSeen(now, {first.Attempt, limit});
+  agent.Controller.onRateLimitReport(now, {first.Attempt, limit});
 }
 
 /// An agent whose engine has a larger batch than these tests fill.
@@ -508,7 +508,7 @@
   for (std::uint64_t n = 1; n <= 5; ++n)
     agent.Controller.onExecute(Now, Entry, request(n, "a", 5100ms));
   CHECK(agent.Controller.board().WaitingCount == 5);
-  agent.Controller.onRateLimitSeen(Now, {{1, 1000}, OnePerSecond});
+  agent.Controller.onRateLimitReport(Now, {{1, 1000}, OnePerSecond});
   CHECK(agent.Controller.board().WaitingCount == 2);
   REQUIRE(agent.refusal());
   CHECK(agent.refusal()->Reason == RefusalReason::RateLimited);
@@ -531,6 +531,6 @@
 TEST_CASE("a rate limit reported for an unknown request is ignored, since an "
           "earlier process may have named it") {
   Agent agent = largeBatchAgent();
-  agent.Controller.onRateLimitSeen(Now, {{1, 999}, OnePerSecond});
+  agent.Controller.onRateLimitReport(Now, {{1, 999}, OnePerSecond});
   CHECK_FALSE(agent.Controller.rateLimit(Now).Named);
 }
--- a/test/AllotmentTest.cpp
+++ b/test/AllotmentTest.cpp
@@ -150,8 +150,9 @@
     const double units = Options.UnitsOfRequest * (0.5 + Draw.uniform());
     const std::uint64_t key = ++LastKey;
     const bool below = takeFromReference(now, units);
-    const AllotmentCharge charge = entry.Leases->take(now, key, Account, units);
-    if (charge.Now == AllotmentCharge::State::Reserved)
+    const AllotmentCharge charge =
+        entry.Leases->reserveUnits(now, key, Account, units);
+    if (charge.CurrentState == AllotmentCharge::State::Reserved)
       return send(now, entry, charge);
     ++Result.Waited;
     entry.Waiting[key] = below;
@@ -417,7 +418,7 @@
   ClientAccount account{.Name = AccountName("shop"),
                         .Limit = {.PerSecond = 100, .Burst = 100}};
   AllotmentLeases leases({.Incarnation = 1});
-  AllotmentCharge first = leases.take(Start, 1, account, 1);
+  AllotmentCharge first = leases.reserveUnits(Start, 1, account, 1);
   const auto report = leases.takeReport(Start);
   REQUIRE(report);
   const AllotmentGrants grants{.Nonce = report->Nonce,
@@ -429,9 +430,9 @@
                                            .Units = 10}}};
   SECTION("the answer arrives before the lease ends") {
     REQUIRE(leases.onGrants(Start + 3ms, grants).size() == 1);
-    CHECK(leases.take(Start + 1s, 2, account, 1).Now ==
+    CHECK(leases.reserveUnits(Start + 1s, 2, account, 1).CurrentState ==
           AllotmentCharge::State::Reserved);
-    CHECK(leases.take(Start + 4s, 3, account, 1).Now ==
+    CHECK(leases.reserveUnits(Start + 4s, 3, account, 1).CurrentState ==
           AllotmentCharge::State::Pending);
   }
   SECTION("the answer is read only after the lease has ended") {
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -85,7 +85,7 @@
                .Head = {"GET", "/", {{"Host", "h"}}},
                .Body = std::make_shared<const std::string>(),
                .Once = once,
-               .Connections = {.Open = maxOpen, .Kept = maxOpen}});
+               .Connections = {.Open = maxOpen, .MaxIdle = maxOpen}});
   }
   void turnUntil(const std::function<bool()> &done) {
     while (!done())
@@ -134,7 +134,7 @@
   const ConnectionLimits limits =
       ConnectionShare().part(Now, Cap, 400, Options);
   CHECK(limits.Open == Options.MinOpen);
-  CHECK(limits.Kept == 0);
+  CHECK(limits.MaxIdle == 0);
 }
 
 TEST_CASE("a rejected connection reduces the entry's share for a while") {
--- a/test/EvacuationFleetTest.cpp
+++ b/test/EvacuationFleetTest.cpp
@@ -50,7 +50,8 @@
 class ZoneFleet {
 public:
   explicit ZoneFleet(const ZoneFleetOptions &options)
-      : Fleet({.World = {.Seed = options.Seed, .Store = {.LoadsPerSecond = 40}},
+      : Fleet({.Simulation = {.Seed = options.Seed,
+                              .Store = {.LoadsPerSecond = 40}},
                .Entries = options.Entries,
                .Servers = options.Servers,
                .Engines = options.Engines,
@@ -239,7 +240,7 @@
   const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
   it.runFor(1s);
   REQUIRE(evacuation->AcknowledgedAt);
-  World &simulation = it.Fleet.simulation();
+  Simulation &simulation = it.Fleet.simulation();
   for (SimulatedProcess *process : simulation.processes())
     simulation.kill(*process);
   for (SimulatedProcess *process : simulation.processes())
@@ -256,7 +257,7 @@
     "[evacuation]") {
   ZoneFleet it({.RequestsPerSecond = 40});
   it.runFor(2s);
-  World &simulation = it.Fleet.simulation();
+  Simulation &simulation = it.Fleet.simulation();
   it.Fleet.cutOffReplicas(it.Fleet.entry(0).Spec.Host);
   simulation.freezeFor(it.Fleet.entry(1), 8s);
   const auto evacuation = it.order(FirstZone, /*evacuate=*/true);
@@ -291,7 +292,7 @@
                 .LostAcknowledgementShare = draw(3) * 0.4,
                 .Servers = 3 + draw(8),
                 .Entries = 2 + draw(4)});
-  World &simulation = it.Fleet.simulation();
+  Simulation &simulation = it.Fleet.simulation();
   std::string schedule;
   const auto recordStep = [&](const std::string &what) {
     schedule += "; " +
--- a/test/EvacuationTest.cpp
+++ b/test/EvacuationTest.cpp
@@ -163,7 +163,7 @@
   RequestPacer pacer;
   CHECK_FALSE(pacer.applyCold(Now, {}));
   CHECK_FALSE(pacer.isPacing(Now));
-  CHECK(pacer.applyCold(Now, {.PerThousandSeconds = 2000, .Left = 3s}));
+  CHECK(pacer.applyCold(Now, {.PerThousandSeconds = 2000, .Remaining = 3s}));
   CHECK_FALSE(pacer.take(Now));
   CHECK(pacer.interval(Now) == 500ms);
   CHECK(pacer.wait(Now, 0) == 500ms + 1us);
@@ -171,7 +171,7 @@
   CHECK(pacer.take(Now + 500ms));
   // A report with an earlier end doesn't shorten the cold time.
   CHECK_FALSE(
-      pacer.applyCold(Now + 1s, {.PerThousandSeconds = 2000, .Left = 1s}));
+      pacer.applyCold(Now + 1s, {.PerThousandSeconds = 2000, .Remaining = 1s}));
   CHECK(pacer.take(Now + 1s));
   CHECK_FALSE(pacer.take(Now + 1s));
   CHECK(pacer.wait(Now + 3s, 100) == 0s);
@@ -188,11 +188,11 @@
           "[pacer]") {
   RequestPacer pacer;
   pacer.apply(Now, {.Named = true, .PerThousandSeconds = 1000});
-  pacer.applyCold(Now, {.PerThousandSeconds = 5000, .Left = 2s});
+  pacer.applyCold(Now, {.PerThousandSeconds = 5000, .Remaining = 2s});
   CHECK(pacer.interval(Now) == 1s);
   RequestPacer other;
   other.apply(Now, {.Named = true, .PerThousandSeconds = 5000});
-  other.applyCold(Now, {.PerThousandSeconds = 1000, .Left = 2s});
+  other.applyCold(Now, {.PerThousandSeconds = 1000, .Remaining = 2s});
   CHECK(other.interval(Now) == 1s);
   CHECK(other.interval(Now + 2s) == 200ms);
   // Two requests while the server is cold, and one at the limit.
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -14,8 +14,8 @@
   /// any.
   template <class T> std::optional<T> question() {
     std::optional<T> found;
-    for (const AskReplicas &it : take<AskReplicas>())
-      if (const auto *body = std::get_if<T>(&it.Question)) {
+    for (const ProposeToReplicas &it : take<ProposeToReplicas>())
+      if (const auto *body = std::get_if<T>(&it.Proposal)) {
         found = *body;
         Nonce = it.Nonce;
       }
@@ -57,14 +57,14 @@
   CHECK(it.take<SendUpstream>().empty());
   const ContentHash content = it.contentOfRequest();
   it.Controller.onServerChecked(Now, check.Server, Exited);
-  const auto asked = it.take<AskReplicas>();
+  const auto asked = it.take<ProposeToReplicas>();
   REQUIRE(asked.size() == 2);
-  const auto report = std::get<ReportServerExit>(asked[0].Question);
+  const auto report = std::get<ReportServerExit>(asked[0].Proposal);
   CHECK(report.Server == sent.Server);
   CHECK(report.RequestsInFlight ==
         std::vector<InFlightRequest>{{content, /*Answering=*/false, {}}});
   // The request isn't sent again before the replicas have granted a trial.
-  CHECK(std::get<ClaimTrial>(asked[1].Question).Content == content);
+  CHECK(std::get<ClaimTrial>(asked[1].Proposal).Content == content);
   CHECK(it.take<SendUpstream>().empty());
   it.Controller.onDecision(Now, asked[1].Nonce, CommandOutcome{});
   CHECK(it.only<SendUpstream>().Server != sent.Server);
@@ -93,7 +93,7 @@
     it.head(sent, 200, {{"id", "r1"}});
     CHECK(it.take<CheckServer>().empty());
   }
-  CHECK(it.take<AskReplicas>().empty());
+  CHECK(it.take<ProposeToReplicas>().empty());
   it.only<SendUpstream>();
 }
 
@@ -128,7 +128,7 @@
   CHECK_FALSE(findHeader(reply.Head.Headers, "come-back"));
   CHECK(reply.Body == "quarantined\n");
   CHECK(it.take<SendUpstream>().empty());
-  CHECK(it.take<AskReplicas>().empty());
+  CHECK(it.take<ProposeToReplicas>().empty());
   CHECK(it.Controller.idle());
 }
 
--- a/test/QuarantineFleetTest.cpp
+++ b/test/QuarantineFleetTest.cpp
@@ -32,7 +32,7 @@
 /// A fleet under load, with counters of its callers' outcomes.
 struct LoadedFleet {
   explicit LoadedFleet(const ForwardFleetOptions &options)
-      : Fleet(options), Rng(options.World.Seed + 1) {
+      : Fleet(options), Rng(options.Simulation.Seed + 1) {
     Fleet.runFor(5s);
   }
 
@@ -115,7 +115,7 @@
 TEST_CASE("a request that crashed three servers reaches few other servers",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    LoadedFleet it({.World = {.Seed = seed}});
+    LoadedFleet it({.Simulation = {.Seed = seed}});
     it.run(20s, {"deadly"});
     INFO("seed " << seed << ", " << it.crashesCausedBy("deadly").size()
                  << " crashes");
@@ -129,7 +129,7 @@
           "[quarantine]") {
   const std::vector<std::string> crashing = crashingRequests(10);
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    LoadedFleet it({.World = {.Seed = seed}});
+    LoadedFleet it({.Simulation = {.Seed = seed}});
     it.run(20s, crashing);
     INFO("seed " << seed << ", unanswered " << it.Unanswered << " of "
                  << it.OtherRequests);
@@ -144,7 +144,7 @@
 TEST_CASE("servers that crash for other reasons put no request in quarantine",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    LoadedFleet it({.World = {.Seed = seed}});
+    LoadedFleet it({.Simulation = {.Seed = seed}});
     for (int i = 0; i < 60; ++i)
       it.Fleet.simulation().after(i * 300ms, [&it, i] {
         const auto server = static_cast<std::uint32_t>(i * 5 % 12);
@@ -163,8 +163,8 @@
 TEST_CASE("the quarantine holds while replicas and entries restart",
           "[quarantine]") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    LoadedFleet it({.World = {.Seed = seed}});
-    World &simulation = it.Fleet.simulation();
+    LoadedFleet it({.Simulation = {.Seed = seed}});
+    Simulation &simulation = it.Fleet.simulation();
     const auto scheduleAt = [&](Duration at, std::function<void()> action) {
       simulation.after(at, std::move(action));
     };
@@ -202,7 +202,7 @@
   for (const std::size_t n : {0U, 1U, 3U, 10U})
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       const std::vector<std::string> crashing = crashingRequests(n);
-      LoadedFleet it({.World = {.Seed = seed}});
+      LoadedFleet it({.Simulation = {.Seed = seed}});
       it.run(20s, crashing);
       std::string counts;
       int late = 0;
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -90,14 +90,14 @@
     EventStream stream;
     std::string out;
     for (std::size_t i = 0; i < bytes.size(); i += step)
-      out += stream.take(std::string_view(bytes).substr(i, step));
+      out += stream.feed(std::string_view(bytes).substr(i, step));
     CHECK(out == "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n");
     CHECK(stream.partial() == "id: 3\ndata: half");
     CHECK(stream.last() == 2U);
     // Another server resumes the stream from an event that the caller already
     // has.
     stream.restart();
-    CHECK(stream.take("id: 2\ndata: b\n\nid: 3\ndata: c\n\n") ==
+    CHECK(stream.feed("id: 2\ndata: b\n\nid: 3\ndata: c\n\n") ==
           "id: 3\ndata: c\n\n");
   }
 }
--- a/test/ServerFeedbackFleetTest.cpp
+++ b/test/ServerFeedbackFleetTest.cpp
@@ -37,7 +37,7 @@
 /// A fleet under load; checks use the arrivals that its servers count.
 struct LimitedFleet {
   LimitedFleet(const ForwardFleetOptions &options, const FleetLoad &load)
-      : Fleet(options), Rng(options.World.Seed + 1), Load(load),
+      : Fleet(options), Rng(options.Simulation.Seed + 1), Load(load),
         Entries(options.Entries) {
     Fleet.runFor(5s);
   }
@@ -124,7 +124,7 @@
 double maxArrivals(double limit) { return limit * toSeconds(Window) + Burst; }
 
 ForwardFleetOptions fleetOptions(std::uint64_t seed, bool engines) {
-  return {.World = {.Seed = seed, .Store = {.LoadsPerSecond = 40}},
+  return {.Simulation = {.Seed = seed, .Store = {.LoadsPerSecond = 40}},
           .Engines = engines};
 }
 
@@ -223,7 +223,7 @@
   options.Entries = 2 + draw(5);
   LimitedFleet it(options,
                   {.PerSecond = 10.0 + draw(50), .Adapters = 4 + draw(40)});
-  World &simulation = it.Fleet.simulation();
+  Simulation &simulation = it.Fleet.simulation();
   const std::uint32_t limited = draw(options.Servers);
   const HostName server = it.Fleet.serverName(limited);
   std::string faults;
