--- a/packages/account/pimentofront/src/Account/AllotmentLedger.h
+++ b/packages/account/pimentofront/src/Account/AllotmentLedger.h
@@ -19,8 +19,8 @@
 /// a new ledger starts at the level that the rules reserve for a change of
 /// ledger (AllotmentBucket::NewLedgerLevel). If it can't tell how long ago the
 /// former ledger started, it starts at AllotmentBucket::MinLevel and with an
-/// empty bucket of the account's own. Units that an entry
-/// doesn't return before its lease expires count as spent.
+/// empty bucket of the account's own. Units that an entry doesn't return before
+/// its lease expires count as spent.
 ///
 /// Accounts without a limit have no bucket. An account is dropped once no units
 /// of it are leased and its bucket is full, provided that a bucket that was
--- a/packages/forward/pimentofront/src/Forward/AttemptController.cpp
+++ b/packages/forward/pimentofront/src/Forward/AttemptController.cpp
@@ -283,7 +283,7 @@
       .Version = request.Adapter.Version,
       .Priority =
           request.ToEngine ? std::optional(request.priority()) : std::nullopt,
-      .LastEventId = request.Events.last(),
+      .LastEventId = request.Events.lastId(),
       .Account = request.Account ? request.Account->Name : AccountName()};
   Board.Commands.push_back(
       SendUpstream{.Attempt = attempt.Id,
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.cpp
@@ -13,8 +13,9 @@
 } // namespace
 
 ConnectionLimits
-ConnectionShare::part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
-                      const ConnectionShareOptions &options) const {
+ConnectionShare::limitsFor(TimePoint now, std::uint32_t cap,
+                           std::uint32_t entries,
+                           const ConnectionShareOptions &options) const {
   if (cap == 0)
     return {};
   const double growth = toSeconds(now - CutAt) /
@@ -22,7 +23,7 @@
   const double scale = std::min(ScaleAtCut + growth, 1.0);
   const double share = options.UsableShare * cap / std::max(entries, 1U);
   const auto scaledShare = static_cast<std::uint32_t>(share * scale);
-  return {.Open = std::max(scaledShare, options.MinOpen),
+  return {.MaxOpen = std::max(scaledShare, options.MinOpen),
           .MaxIdle = scaledShare};
 }
 
--- a/packages/forward/pimentofront/src/Forward/ConnectionShare.h
+++ b/packages/forward/pimentofront/src/Forward/ConnectionShare.h
@@ -14,8 +14,8 @@
 /// \brief How many connections one entry may have to one backend server.
 struct ConnectionLimits {
   /// Maximum of open connections, whether in use or idle.
-  std::uint32_t Open = std::numeric_limits<std::uint32_t>::max();
-  /// Maximum of idle connections that are kept for reuse. Lower than Open if
+  std::uint32_t MaxOpen = std::numeric_limits<std::uint32_t>::max();
+  /// Maximum of idle connections that are kept for reuse. Lower than MaxOpen if
   /// the entry's share is less than the minimum that it needs; the connections
   /// beyond it are then closed after their answers.
   std::uint32_t MaxIdle = std::numeric_limits<std::uint32_t>::max();
@@ -57,8 +57,9 @@
   /// \param cap connections that the server accepts; 0 if unknown, which sets
   /// no limit.
   /// \returns the share of this entry, one of \p entries.
-  ConnectionLimits part(TimePoint now, std::uint32_t cap, std::uint32_t entries,
-                        const ConnectionShareOptions &options) const;
+  ConnectionLimits limitsFor(TimePoint now, std::uint32_t cap,
+                             std::uint32_t entries,
+                             const ConnectionShareOptions &options) const;
   /// Records that the server rejected a connection, and cuts the share.
   void recordRejection(TimePoint now, const ConnectionShareOptions &options);
 
--- a/packages/forward/pimentofront/src/Forward/EventStream.h
+++ b/packages/forward/pimentofront/src/Forward/EventStream.h
@@ -27,7 +27,7 @@
   /// \returns the bytes received after the last complete event.
   const std::string &partial() const { return Partial; }
   /// \returns the id of the last event that was returned, if any has an id.
-  std::optional<std::uint64_t> last() const { return Last; }
+  std::optional<std::uint64_t> lastId() const { return Last; }
   std::uint64_t events() const { return Events; }
 
 private:
--- a/packages/forward/pimentofront/src/Forward/ForwardController.h
+++ b/packages/forward/pimentofront/src/Forward/ForwardController.h
@@ -40,7 +40,7 @@
   /// This process can't read the newest routing document.
   void setTableOutdated() { Board.TableOutdated = true; }
   /// \returns whether takeAllotmentReport() may have something.
-  bool wantsAllotmentReport(TimePoint now) const {
+  bool isAllotmentReportDue(TimePoint now) const {
     return Board.Leases.isReportDue(now);
   }
   /// \returns the report on allotments for the leader of the replicas, if one
@@ -50,7 +50,7 @@
   }
   /// The leader has answered a report.
   void onAllotmentGrants(TimePoint now, const AllotmentGrants &grants);
-  bool wantsPermitQuery() const { return Board.Permits.hasQueries(); }
+  bool hasPermitQueries() const { return Board.Permits.hasQueries(); }
   /// \returns the queries for permits to send to limited or cold servers, for
   /// the leader.
   std::vector<SendPermitQuery> takePermitQueries() {
@@ -65,11 +65,11 @@
   }
   /// \returns whether the leader has left a report or query unanswered for too
   /// long.
-  bool ledgerUnanswered(TimePoint now) const {
+  bool hasOverdueLedgerQuery(TimePoint now) const {
     return Board.Leases.hasOverdueQuery(now) ||
            Board.Permits.hasOverdueQuery(now);
   }
-  /// The replicas have decided on a question, or haven't in time.
+  /// The replicas have decided on a proposal, or haven't in time.
   void onDecision(TimePoint now, std::uint64_t nonce,
                   const std::optional<CommandOutcome> &outcome);
   /// A server whose answer had broken off has been checked.
@@ -100,8 +100,8 @@
   /// \returns whether the agent's answer is overdue.
   bool isAgentOverdue(TimePoint now, const ForwardRequest &request) const;
   /// \returns whether the request may be repeated and its server's host must be
-  /// assumed to be gone: the host is suspected, LostGrace has passed since, and
-  /// the server has sent nothing for LostSilence.
+  /// assumed to be gone: the host is suspected, SuspectGracePeriod has passed
+  /// since, and the server has sent nothing for SuspectSilenceTimeout.
   bool isServerLost(TimePoint now, const ForwardRequest &request) const;
 
   ForwardBoard Board;
--- a/packages/forward/pimentofront/src/Forward/QuarantineController.h
+++ b/packages/forward/pimentofront/src/Forward/QuarantineController.h
@@ -43,7 +43,7 @@
   /// \returns whether the request may be sent now; asks the replicas if the
   /// decision is theirs.
   SendDecision decideSend(TimePoint now, ForwardRequest &request);
-  /// The replicas have decided on a question of this entry, or haven't in time.
+  /// The replicas have decided on a proposal of this entry, or haven't in time.
   /// \returns the request that waited for it, with the decision.
   std::optional<TrialDecision>
   onDecision(std::uint64_t nonce, const std::optional<CommandOutcome> &outcome);
@@ -92,7 +92,7 @@
   ForwardBoard &Board;
   std::map<ServerProcess, Check> Checks;
   /// Keys of the requests that wait for a trial grant, by the nonce of the
-  /// question.
+  /// proposal.
   std::map<std::uint64_t, std::uint64_t> Claims;
   /// Contents that were reported, by the nonce of the report.
   std::map<std::uint64_t, std::vector<ContentHash>> Reports;
--- a/packages/forward/pimentofront/src/Forward/ServerSet.cpp
+++ b/packages/forward/pimentofront/src/Forward/ServerSet.cpp
@@ -216,8 +216,8 @@
                                         const ServerView &server) const {
   const ServiceSpec *spec = specOf(server);
   const std::uint32_t cap = spec ? spec->MaxConnections : 0;
-  return server.Connections.part(now, cap, Entries.value(),
-                                 Options.Connections);
+  return server.Connections.limitsFor(now, cap, Entries.value(),
+                                      Options.Connections);
 }
 
 void ServerSet::recordRejection(TimePoint now, const ServerProcess &server) {
@@ -240,7 +240,7 @@
          !feedbackOf(server.Record.process()).isBackingOff(now) &&
          std::ranges::find(excluded, server.Record.process()) ==
              excluded.end() &&
-         server.InFlight < connections(now, server).Open;
+         server.InFlight < connections(now, server).MaxOpen;
 }
 
 std::vector<ServerProcess>
--- a/packages/http/pimentofront/src/Http/UpstreamPool.cpp
+++ b/packages/http/pimentofront/src/Http/UpstreamPool.cpp
@@ -31,7 +31,7 @@
 void UpstreamPool::closeSurplusIdle(Peer &peer, std::uint32_t more) {
   const auto tooMany = [&] {
     return peer.Idle.size() > peer.Limits.MaxIdle ||
-           std::uint64_t(peer.Open) + more > peer.Limits.Open;
+           std::uint64_t(peer.Open) + more > peer.Limits.MaxOpen;
   };
   // end() removes the channel from the list.
   while (!peer.Idle.empty() && tooMany())
--- a/packages/node/pimentofront/src/Node/AgentNode.cpp
+++ b/packages/node/pimentofront/src/Node/AgentNode.cpp
@@ -100,7 +100,7 @@
     return Network.send(link,
                         AttemptRefused{.Attempt = request.Attempt,
                                        .Reason = RefusalReason::BackendDown,
-                                       .Load = Controller.figures(now)});
+                                       .Load = Controller.currentLoad(now)});
   if (!request.Server.empty()) {
     // What was learned of a former process doesn't apply to this one.
     if (!Process.empty() && !mayBeSameProcess(Process, request.server()))
@@ -154,7 +154,7 @@
   if (it == Delegated.end())
     return Driver.generate(request);
   Network.send(it->second,
-               AttemptPermit{request.Attempt, Controller.figures(now),
+               AttemptPermit{request.Attempt, Controller.currentLoad(now),
                              Controller.rateLimit(now),
                              Controller.requestInterval(now)});
 }
--- a/packages/node/pimentofront/src/Node/ForwardNode.cpp
+++ b/packages/node/pimentofront/src/Node/ForwardNode.cpp
@@ -137,7 +137,7 @@
 }
 
 void ForwardNode::watchLedger(TimePoint now) {
-  const bool unanswered = Controller.ledgerUnanswered(now);
+  const bool unanswered = Controller.hasOverdueLedgerQuery(now);
   if (unanswered)
     Ledger.onRedirect(now, /*address=*/std::string());
   if (unanswered || Ledger.tick(now))
@@ -145,7 +145,7 @@
 }
 
 void ForwardNode::sendLedgerRequests(TimePoint now) {
-  if (!Controller.wantsAllotmentReport(now) && !Controller.wantsPermitQuery())
+  if (!Controller.isAllotmentReportDue(now) && !Controller.hasPermitQueries())
     return;
   const auto link = Ledger.link(now);
   if (!link)
@@ -157,10 +157,10 @@
 }
 
 void ForwardNode::proposeToReplicas(TimePoint now,
-                                    const ProposeToReplicas &question) {
+                                    const ProposeToReplicas &proposal) {
   Proposals.add(
-      Command{.Body = question.Proposal}, now + question.DecisionTimeout,
-      [this, nonce = question.Nonce](TimePoint at, const auto &outcome) {
+      Command{.Body = proposal.Proposal}, now + proposal.DecisionTimeout,
+      [this, nonce = proposal.Nonce](TimePoint at, const auto &outcome) {
         Controller.onDecision(at, nonce, outcome);
       });
   Proposals.send(now);
@@ -315,8 +315,8 @@
   for (ForwardCommand &command : Controller.takeCommands()) {
     if (const auto *it = std::get_if<SendToAgent>(&command))
       sendToAgent(now, *it);
-    else if (const auto *question = std::get_if<ProposeToReplicas>(&command))
-      proposeToReplicas(now, *question);
+    else if (const auto *proposal = std::get_if<ProposeToReplicas>(&command))
+      proposeToReplicas(now, *proposal);
     else
       Sink.onCommand(std::move(command));
   }
--- a/packages/node/pimentofront/src/Node/ForwardNode.h
+++ b/packages/node/pimentofront/src/Node/ForwardNode.h
@@ -84,7 +84,7 @@
   void dropLinks(TimePoint now, const std::vector<LinkId> &links);
   void onFeedMessage(TimePoint now, const Message &message);
   void onLeaderMessage(TimePoint now, const Message &message);
-  void proposeToReplicas(TimePoint now, const ProposeToReplicas &question);
+  void proposeToReplicas(TimePoint now, const ProposeToReplicas &proposal);
   void onLedgerMessage(TimePoint now, const Message &message);
   /// Looks for another leader if the ledger's leader doesn't answer.
   void watchLedger(TimePoint now);
--- a/packages/node/pimentofront/src/Node/ReplicaNode.cpp
+++ b/packages/node/pimentofront/src/Node/ReplicaNode.cpp
@@ -276,7 +276,7 @@
     Evacuations.recordAcknowledged(now, order.Zone, order.Evacuated);
     done(CommandOutcome{.At = current->revision()});
     return true;
-  case EvacuationDecision::PossiblyStale:
+  case EvacuationDecision::Undecided:
     done(std::nullopt);
     return true;
   case EvacuationDecision::New:
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.cpp
@@ -54,11 +54,11 @@
     removeWaiting(attempt);
     refuse(entry, attempt,
            {RefusalReason::RateLimited, Board.Pacer.wait(now, ahead)},
-           figures(now));
+           currentLoad(now));
   }
 }
 
-AgentLoad AdmissionController::figures(TimePoint now) const {
+AgentLoad AdmissionController::currentLoad(TimePoint now) const {
   // Without a slot to evict, a load would have to wait for one.
   double victim = Board.Slots.hasEmpty() ? 0 : MaxVictimValue;
   for (const Slot &it : Board.Slots.all())
@@ -133,7 +133,7 @@
         ready + Board.ServiceTime <= attempt.Deadline)
       return false;
     refuse(attempt.Entry, attempt.Request.Attempt,
-           {RefusalReason::LoadBacklog, wait}, figures(now));
+           {RefusalReason::LoadBacklog, wait}, currentLoad(now));
     --Board.WaitingCount;
     return true;
   });
@@ -220,7 +220,8 @@
 }
 
 void AdmissionController::refuse(EntryLink entry, const AttemptId &attempt,
-                                 Decision decision, const AgentLoad &figures) {
+                                 Decision decision,
+                                 const AgentLoad &agentLoad) {
   // An entry compares these waits between hosts, so they get no jitter.
   const Duration retryAfter =
       isConditionalRefusal(decision.Reason)
@@ -231,7 +232,7 @@
                              .Attempt = attempt,
                              .Reason = decision.Reason,
                              .RetryAfter = retryAfter,
-                             .Load = figures,
+                             .Load = agentLoad,
                              .HoldsAdapter = decision.HoldsAdapter,
                          }});
 }
@@ -245,7 +246,7 @@
   if (toEngine && !isConditionalRefusal(decision.Reason))
     Board.Popularity.recordRequest(now, request.Key);
   if (decision.Reason != RefusalReason::None)
-    return refuse(entry, request.Attempt, decision, figures(now));
+    return refuse(entry, request.Attempt, decision, currentLoad(now));
   const TimePoint deadline = now + request.Remaining;
   if (toEngine) {
     const bool ready = Board.Slots.isReady(request.Key);
@@ -268,14 +269,14 @@
   }
   Board.Commands.push_back(
       SendToEntry{entry, AttemptAdmitted{.Attempt = request.Attempt,
-                                         .Load = figures(now)}});
+                                         .Load = currentLoad(now)}});
   if (!toEngine)
     Board.Commands.push_back(StartServiceCall{request});
 }
 
 void AdmissionController::refuseInfeasible(TimePoint now) {
   refuseBeyondRateLimit(now);
-  std::optional<AgentLoad> currentFigures;
+  std::optional<AgentLoad> reportedLoad;
   for (auto it = Board.Waiting.begin(); it != Board.Waiting.end();) {
     auto &[key, queue] = *it;
     const bool ready = Board.Slots.isReady(key);
@@ -288,11 +289,11 @@
     std::erase_if(queue, [&](const WaitingAttempt &attempt) {
       if (now + load <= attempt.Deadline)
         return false;
-      if (!currentFigures)
-        currentFigures = figures(now);
+      if (!reportedLoad)
+        reportedLoad = currentLoad(now);
       const Duration wait = ready ? queueWait(now) : loadBacklog(now);
       refuse(attempt.Entry, attempt.Request.Attempt, {reason, wait},
-             *currentFigures);
+             *reportedLoad);
       --Board.WaitingCount;
       return true;
     });
--- a/packages/serving/pimentofront/src/Serving/AdmissionController.h
+++ b/packages/serving/pimentofront/src/Serving/AdmissionController.h
@@ -29,8 +29,8 @@
   /// \returns whether it was waiting.
   bool removeWaiting(const AttemptId &attempt);
 
-  /// \returns the load figures that are sent with answers.
-  AgentLoad figures(TimePoint now) const;
+  /// \returns the current load, which is sent with answers.
+  AgentLoad currentLoad(TimePoint now) const;
 
 private:
   struct Decision {
@@ -71,7 +71,7 @@
   /// \returns the estimated wait of a new load.
   Duration loadBacklog(TimePoint now) const;
   void refuse(EntryLink entry, const AttemptId &attempt, Decision decision,
-              const AgentLoad &figures);
+              const AgentLoad &agentLoad);
 
   AgentBoard &Board;
 };
--- a/packages/serving/pimentofront/src/Serving/AgentBoard.h
+++ b/packages/serving/pimentofront/src/Serving/AgentBoard.h
@@ -12,7 +12,7 @@
 
 namespace pimentofront {
 
-/// Identifies the link to an entry. The I/O layer that drives the controller
+/// Identifies the link to an entry. The node that drives the controller
 /// assigns the numbers.
 using EntryLink = std::uint64_t;
 
@@ -109,8 +109,7 @@
   bool Delegated = false;
   TimePoint StartedAt;
   TimePoint Deadline;
-  /// Time at which the first event is expected, and time at which the entry's
-  /// report of it was received; empty before that.
+  /// When the first event is expected.
   TimePoint ExpectedAt;
   /// When the entry's report of the first event was received.
   std::optional<TimePoint> BegunAt;
--- a/packages/serving/pimentofront/src/Serving/AgentController.cpp
+++ b/packages/serving/pimentofront/src/Serving/AgentController.cpp
@@ -90,7 +90,7 @@
                                      .Payload = std::move(payload),
                                      .Tokens = running.Tokens,
                                      .LoadStall = running.LoadStall,
-                                     .Load = Admission.figures(now),
+                                     .Load = Admission.currentLoad(now),
                                  }});
   decide(now);
 }
@@ -181,7 +181,7 @@
                                      .Attempt = attempt,
                                      .Reason = RefusalReason::BackendDown,
                                      .RetryAfter = Board.LoadTimes.fromStore(),
-                                     .Load = Admission.figures(now),
+                                     .Load = Admission.currentLoad(now),
                                  }});
   decide(now);
 }
--- a/packages/serving/pimentofront/src/Serving/AgentController.h
+++ b/packages/serving/pimentofront/src/Serving/AgentController.h
@@ -9,8 +9,8 @@
 /// \class AgentController
 /// \ingroup Serving
 /// \brief Makes all decisions of the agent, the process beside a backend
-/// server. The I/O layer reports events to it and carries out the commands that
-/// it leaves.
+/// server. The node reports events to it and carries out the commands that it
+/// leaves.
 ///
 /// Use it wherever one process has sole authority over an engine's slots. It
 /// doesn't support two processes that manage the same engine.
@@ -59,8 +59,10 @@
   void onProfile(TimePoint now, const EngineProfile &profile);
   /// Updates the resident adapters while the engine is in use.
   void onResident(TimePoint now, const std::vector<AdapterKey> &resident);
-  /// \returns the load figures that are sent to entries.
-  AgentLoad figures(TimePoint now) const { return Admission.figures(now); }
+  /// \returns the current load, which is sent to entries.
+  AgentLoad currentLoad(TimePoint now) const {
+    return Admission.currentLoad(now);
+  }
   void onLoadEnded(TimePoint now, const AdapterKey &key, bool succeeded,
                    Duration took);
   /// The engine answers; \p resident are the adapters it holds, \p idle says
--- a/packages/serving/pimentofront/src/Serving/EntryBoard.h
+++ b/packages/serving/pimentofront/src/Serving/EntryBoard.h
@@ -85,8 +85,8 @@
   KindName Kind;
   FinalAnswer Answer;
 };
-/// Proposes a command to the replicated state. The I/O layer sends it again
-/// until it is decided or until `ProposeUntil`.
+/// Proposes a command to the replicated state. The node sends it again until it
+/// is decided or until `ProposeUntil`.
 struct ProposeCommand {
   std::uint64_t Nonce = 0;
   Command Proposal;
--- a/packages/serving/pimentofront/src/Serving/PrefixRouting.h
+++ b/packages/serving/pimentofront/src/Serving/PrefixRouting.h
@@ -71,8 +71,7 @@
   /// \returns the host for a request that all hosts asked with a limit have
   /// refused: the first that can be on time by its own estimate, or else the
   /// one with the shortest wait, to which a further copy of the adapter adds
-  /// CopyCost. The first \p own of \p hosts are the adapter's
-  /// own engines.
+  /// CopyCost. The first \p own of \p hosts are the adapter's own engines.
   std::optional<Route>
   chooseByEstimate(const RouteQuery &query, Duration target, std::size_t own,
                    const std::vector<const MemberView *> &hosts) const;
--- a/packages/state/pimentofront/src/State/EvacuationOrders.cpp
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.cpp
@@ -17,7 +17,7 @@
   const auto it = Zones.find(zone);
   const Zone known = it == Zones.end() ? Zone() : it->second;
   if (known.ProposalPending)
-    return EvacuationDecision::PossiblyStale;
+    return EvacuationDecision::Undecided;
   const ZoneRecord *present = current.findZone(zone);
   if ((present && present->Evacuated) == evacuated)
     return EvacuationDecision::InForce;
@@ -26,7 +26,7 @@
     return EvacuationDecision::New;
   const auto &last = evacuated ? known.EvacuatedAt : known.RestoredAt;
   return now < last.value_or(TermStartedAt) + ResendWindow
-             ? EvacuationDecision::PossiblyStale
+             ? EvacuationDecision::Undecided
              : EvacuationDecision::New;
 }
 
--- a/packages/state/pimentofront/src/State/EvacuationOrders.h
+++ b/packages/state/pimentofront/src/State/EvacuationOrders.h
@@ -12,7 +12,7 @@
   InForce,
   /// The order may be a late resend that an opposite order has superseded, or
   /// another order on the zone is pending. It can't be decided now.
-  PossiblyStale,
+  Undecided,
   New,
 };
 
--- a/test/ConnectionTest.cpp
+++ b/test/ConnectionTest.cpp
@@ -85,7 +85,7 @@
                .Head = {"GET", "/", {{"Host", "h"}}},
                .Body = std::make_shared<const std::string>(),
                .Once = once,
-               .Connections = {.Open = maxOpen, .MaxIdle = maxOpen}});
+               .Connections = {.MaxOpen = maxOpen, .MaxIdle = maxOpen}});
   }
   void turnUntil(const std::function<bool()> &done) {
     while (!done())
@@ -122,32 +122,36 @@
 TEST_CASE("all entries together stay within a server's connection cap") {
   const ConnectionShare share;
   for (const std::uint32_t entries : {1U, 4U, 21U, 36U}) {
-    const std::uint32_t openLimit = share.part(Now, Cap, entries, Options).Open;
+    const std::uint32_t openLimit =
+        share.limitsFor(Now, Cap, entries, Options).MaxOpen;
     INFO(entries << " entries, " << openLimit << " connections each");
     CHECK(openLimit * entries <= Cap);
     CHECK(openLimit >= 1);
   }
-  CHECK(share.part(Now, 0, 4, Options) == ConnectionLimits());
+  CHECK(share.limitsFor(Now, 0, 4, Options) == ConnectionLimits());
 }
 
 TEST_CASE("entries whose share is below one connection keep none idle") {
   const ConnectionLimits limits =
-      ConnectionShare().part(Now, Cap, 400, Options);
-  CHECK(limits.Open == Options.MinOpen);
+      ConnectionShare().limitsFor(Now, Cap, 400, Options);
+  CHECK(limits.MaxOpen == Options.MinOpen);
   CHECK(limits.MaxIdle == 0);
 }
 
 TEST_CASE("a rejected connection reduces the entry's share for a while") {
   ConnectionShare share;
-  const std::uint32_t full = share.part(Now, Cap, 4, Options).Open;
+  const std::uint32_t full = share.limitsFor(Now, Cap, 4, Options).MaxOpen;
   share.recordRejection(Now, Options);
-  const std::uint32_t cut = share.part(Now, Cap, 4, Options).Open;
+  const std::uint32_t cut = share.limitsFor(Now, Cap, 4, Options).MaxOpen;
   CHECK(cut == full / 2);
   // Connections that are rejected together reduce the share only once.
   share.recordRejection(Now + 1ms, Options);
-  CHECK(share.part(Now + 1ms, Cap, 4, Options).Open == cut);
-  CHECK(share.part(Now + Options.RecoveryTime / 2, Cap, 4, Options).Open > cut);
-  CHECK(share.part(Now + Options.RecoveryTime, Cap, 4, Options).Open == full);
+  CHECK(share.limitsFor(Now + 1ms, Cap, 4, Options).MaxOpen == cut);
+  CHECK(
+      share.limitsFor(Now + Options.RecoveryTime / 2, Cap, 4, Options).MaxOpen >
+      cut);
+  CHECK(share.limitsFor(Now + Options.RecoveryTime, Cap, 4, Options).MaxOpen ==
+        full);
 }
 
 TEST_CASE("an entry that is no longer counted keeps its share for a while") {
@@ -173,7 +177,7 @@
           "servers") {
   ServerSet set = serversAmong(4);
   const std::uint32_t openLimit =
-      set.connections(Now, *set.find(HostName("near"))).Open;
+      set.connections(Now, *set.find(HostName("near"))).MaxOpen;
   CHECK(admitted(set, Now) == 2 * openLimit);
   SECTION("a server that has answered a request gets another one") {
     set.recordOutcome(Now, {HostName("far")}, ServerOutcome::Answered);
@@ -189,7 +193,7 @@
 TEST_CASE("a server that rejects a connection gets fewer connections at once") {
   ServerSet set = serversAmong(4);
   const std::uint32_t openLimit =
-      set.connections(Now, *set.find(HostName("near"))).Open;
+      set.connections(Now, *set.find(HostName("near"))).MaxOpen;
   set.recordRejection(Now, {HostName("near")});
   CHECK(admitted(set, Now) == openLimit + openLimit / 2);
 }
--- a/test/EvacuationTest.cpp
+++ b/test/EvacuationTest.cpp
@@ -37,9 +37,9 @@
         EvacuationDecision::InForce);
   orders.recordProposed(Zone);
   CHECK(orders.evaluate(Now, noZones, Zone, true) ==
-        EvacuationDecision::PossiblyStale);
+        EvacuationDecision::Undecided);
   CHECK(orders.evaluate(Now, noZones, Zone, false) ==
-        EvacuationDecision::PossiblyStale);
+        EvacuationDecision::Undecided);
   // If this isn't recorded, the zone takes no further orders.
   orders.recordProposalFailed(Zone);
   CHECK(orders.evaluate(Now, noZones, Zone, true) == EvacuationDecision::New);
@@ -51,7 +51,7 @@
   // A former leader may have acknowledged an opposite order that changed
   // nothing.
   CHECK(orders.evaluate(Now, withEvacuation, Zone, false) ==
-        EvacuationDecision::PossiblyStale);
+        EvacuationDecision::Undecided);
   CHECK(orders.evaluate(Now + ResendWindow, withEvacuation, Zone, false) ==
         EvacuationDecision::New);
 }
@@ -63,14 +63,14 @@
   orders.recordAcknowledged(Now + 10s, Zone, true);
   const Configuration withRestoration = withZone(false);
   CHECK(orders.evaluate(Now + 15s, withRestoration, Zone, true) ==
-        EvacuationDecision::PossiblyStale);
+        EvacuationDecision::Undecided);
   CHECK(orders.evaluate(Now + 16s, withRestoration, Zone, true) ==
         EvacuationDecision::New);
   // A new leader knows only that earlier orders were acknowledged before its
   // term.
   orders.startLeading(Now + 20s, 2);
   CHECK(orders.evaluate(Now + 25s, withRestoration, Zone, true) ==
-        EvacuationDecision::PossiblyStale);
+        EvacuationDecision::Undecided);
   CHECK(orders.evaluate(Now + 26s, withRestoration, Zone, true) ==
         EvacuationDecision::New);
 }
--- a/test/QuarantineControllerTest.cpp
+++ b/test/QuarantineControllerTest.cpp
@@ -10,9 +10,9 @@
 
 /// An entry, and the questions that it asks the replicas.
 struct QuarantineEntry : ForwardUnderTest {
-  /// \returns the last question of type T that the entry has asked since, if
+  /// \returns the last proposal of type T that the entry has made since, if
   /// any.
-  template <class T> std::optional<T> question() {
+  template <class T> std::optional<T> proposal() {
     std::optional<T> found;
     for (const ProposeToReplicas &it : take<ProposeToReplicas>())
       if (const auto *body = std::get_if<T>(&it.Proposal)) {
@@ -101,7 +101,7 @@
   QuarantineEntry it;
   it.request("safe");
   it.end(it.only<SendUpstream>(), UpstreamEnding::Rejected, Exited);
-  CHECK(it.question<ReportServerExit>());
+  CHECK(it.proposal<ReportServerExit>());
 }
 
 TEST_CASE("a request that may not be repeated is answered before the server is "
@@ -113,7 +113,7 @@
   it.Controller.answers().onEnd(Now, sent.Attempt, BrokenOff);
   CHECK(it.only<ReplyComplete>().Head.Status == 502);
   it.Controller.onServerChecked(Now, it.only<CheckServer>().Server, Exited);
-  const auto report = it.question<ReportServerExit>();
+  const auto report = it.proposal<ReportServerExit>();
   REQUIRE(report);
   CHECK(report->RequestsInFlight.front().Content == content);
 }
@@ -137,37 +137,37 @@
   QuarantineEntry it;
   it.setContentState(QuarantineState::Watched);
   it.request("safe");
-  REQUIRE(it.question<ClaimTrial>());
+  REQUIRE(it.proposal<ClaimTrial>());
   CHECK(it.take<SendUpstream>().empty());
   SECTION("the server survives it") {
     it.decide(CommandResult::Accepted);
     const auto sent = it.only<SendUpstream>();
     it.head(sent, 200);
     it.end(sent, Completed);
-    CHECK(it.question<EndTrial>()->Ending == TrialEnding::Survived);
+    CHECK(it.proposal<EndTrial>()->Ending == TrialEnding::Survived);
     it.request("safe");
     it.only<SendUpstream>();
   }
   SECTION("the server answers with a failure, and its process still runs") {
     it.decide(CommandResult::Accepted);
     it.head(it.only<SendUpstream>(), 500);
-    CHECK(it.question<EndTrial>()->Ending == TrialEnding::Survived);
+    CHECK(it.proposal<EndTrial>()->Ending == TrialEnding::Survived);
   }
   SECTION("the server exits: the report releases the grant") {
     it.decide(CommandResult::Accepted);
     it.end(it.only<SendUpstream>(), BrokenOff, Exited);
-    CHECK(it.question<ReportServerExit>()->RequestsInFlight.front().Holder ==
+    CHECK(it.proposal<ReportServerExit>()->RequestsInFlight.front().Holder ==
           AttemptId{5, 1});
   }
   SECTION("its caller leaves during the trial") {
     it.decide(CommandResult::Accepted);
     it.only<SendUpstream>();
     it.Controller.onCallerDisconnected(Now, 1);
-    CHECK(it.question<EndTrial>()->Ending == TrialEnding::Unclear);
+    CHECK(it.proposal<EndTrial>()->Ending == TrialEnding::Unclear);
   }
   SECTION("its caller leaves before the grant arrives") {
     it.Controller.onCallerDisconnected(Now, 1);
-    CHECK(it.question<EndTrial>()->Ending == TrialEnding::NotRun);
+    CHECK(it.proposal<EndTrial>()->Ending == TrialEnding::NotRun);
     it.decide(CommandResult::Accepted);
     CHECK(it.take<SendUpstream>().empty());
   }
@@ -184,7 +184,7 @@
     it.decide(CommandResult::InProgress);
     CHECK(it.take<ReplyComplete>().empty());
     it.Controller.tick(Now + 200ms);
-    REQUIRE(it.question<ClaimTrial>());
+    REQUIRE(it.proposal<ClaimTrial>());
     it.decide(CommandResult::InProgress, Now + 3s);
     // This attempt has certainly not run.
     const auto reply = it.only<ReplyComplete>();
@@ -203,14 +203,14 @@
   QuarantineEntry it;
   it.setContentState(QuarantineState::Watched);
   it.request("safe");
-  REQUIRE(it.question<ClaimTrial>());
+  REQUIRE(it.proposal<ClaimTrial>());
   it.decide(CommandResult::Accepted);
   it.end(it.only<SendUpstream>(), BrokenOff, Exited);
-  CHECK_FALSE(it.question<ClaimTrial>());
+  CHECK_FALSE(it.proposal<ClaimTrial>());
   it.Controller.tick(Now + 50ms);
-  CHECK_FALSE(it.question<ClaimTrial>());
+  CHECK_FALSE(it.proposal<ClaimTrial>());
   it.Controller.tick(Now + 60ms);
-  CHECK(it.question<ClaimTrial>());
+  CHECK(it.proposal<ClaimTrial>());
 }
 
 TEST_CASE("requests that differ in one byte have different contents") {
--- a/test/RoutingTest.cpp
+++ b/test/RoutingTest.cpp
@@ -93,7 +93,7 @@
       out += stream.feed(std::string_view(bytes).substr(i, step));
     CHECK(out == "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n");
     CHECK(stream.partial() == "id: 3\ndata: half");
-    CHECK(stream.last() == 2U);
+    CHECK(stream.lastId() == 2U);
     // Another server resumes the stream from an event that the caller already
     // has.
     stream.restart();
